--- a/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CanaryAnalysis.java
@@ -13,35 +13,36 @@
 import loadbalancer.rollout.plan.RolloutOrder;
 
 /**
- * Automated canary analysis of one plan at one member: canary against baseline, window by window,
- * with a verdict on the open stage. Stage 0 is the time before the change; it passes when the
- * baseline is known.
+ * Automated canary analysis of one plan at one member. It compares the canary with the baseline in
+ * each window and returns a verdict on the open stage. Stage 0 is the time before the change and
+ * passes when the baseline is known.
  *
- * <p>With a new program that is no worse, the chance that any comparison of any stage ever finds a
- * regression is {@value #FALSE_HALT_PROBABILITY} at most, split over all comparisons and stages.
+ * <p>If the new program is no worse, the probability that any comparison in any stage ever reports
+ * a regression is at most {@value #FALSE_HALT_PROBABILITY}, divided among all comparisons and
+ * stages.
  *
- * <p>Not thread-safe. Windows are numbered by the wall clock; no clock is read in here.
+ * <p>Not thread-safe. Windows are numbered by the wall clock, which this class does not read.
  */
 public final class CanaryAnalysis {
-    /** Length of a window. Shorter ones hold too few requests, longer ones detect later. */
+    /** Length of a window. Shorter ones have too few requests, longer ones delay detection. */
     public static final long WINDOW_MICROS = 5_000_000;
 
-    /** Chance of a false halt over the whole plan. */
+    /** Maximum probability of a false halt over the whole plan. */
     public static final double FALSE_HALT_PROBABILITY = 0.01;
 
-    /** Windows after which counters have reached all members, also of 1,000, or are missing. */
+    /** Windows after which counters have reached all members, up to 1,000, or are missing. */
     static final int SETTLING_WINDOWS = 3;
 
-    /** After a pause no further back: older counters may have expired at some members. */
+    /** Limit after a pause, since some members may have dropped older counters. */
     private static final int MAX_CATCH_UP_WINDOWS = 24;
 
-    /** The last minute. */
+    /** Number of recent windows, which cover the last minute. */
     private static final int RECENT_WINDOWS = 12;
 
-    /** Of the recent windows, so many must be complete to pass. */
+    /** Number of recent windows that must be complete for a pass. */
     private static final int MIN_RECENT_COMPLETE = 9;
 
-    /** A stage fails once it is worse than before the change for this part of its time limit. */
+    /** A stage that is worse than before for its time limit divided by this number fails. */
     private static final int WORSE_THAN_BEFORE_DIVISOR = 4;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -59,7 +60,7 @@
     private long windowsWorseThanBefore;
     private String worseThanBefore = "";
 
-    /** Begins in stage 0. */
+    /** Creates an analysis in stage 0. */
     public CanaryAnalysis(Plan plan, RolloutOrder order, SharedState shared) {
         this.plan = plan;
         this.order = order;
@@ -73,7 +74,7 @@
         groups.add(MetricGroup.ofProcess(plan));
     }
 
-    /** Whether the baseline is known; without it no later stage can get a verdict. */
+    /** Returns whether the baseline is known, which verdicts on later stages require. */
     public boolean isBaselineKnown() {
         return groups.stream()
                         .allMatch(
@@ -81,7 +82,7 @@
                 && classGroups.stream().anyMatch(group -> !group.isIdle());
     }
 
-    /** A stage has opened: observations of the one before no longer count. */
+    /** Starts a stage and discards the observations of the previous one. */
     public void startStage(int openedStage) {
         stage = openedStage;
         completeWindows = 0;
@@ -91,7 +92,7 @@
         groups.forEach(MetricGroup::startStage);
     }
 
-    /** Analyzes all windows that have settled by {@code currentWindow}; returns the verdict. */
+    /** Analyzes all windows settled at {@code currentWindow} and returns the verdict. */
     public Verdict analyze(long currentWindow) {
         long lastSettled = currentWindow - SETTLING_WINDOWS;
         if (nextWindow == Long.MIN_VALUE) {
@@ -159,7 +160,7 @@
 
     private Verdict stageVerdict() {
         if (!isBaselineKnown()) {
-            return Verdict.inconclusive("joined too late to know the baseline");
+            return Verdict.inconclusive("this member joined too late to know the baseline");
         }
         double threshold = regressionThreshold();
         Optional<String> regression =
@@ -186,7 +187,7 @@
         return completeWindows * WINDOW_MICROS;
     }
 
-    /** Natural logarithm of the e-value at which one comparison of one stage is a regression. */
+    /** Returns the natural logarithm of the e-value from which a comparison is a regression. */
     private double regressionThreshold() {
         int comparisons = groups.stream().mapToInt(group -> group.comparisons().size()).sum();
         return Math.log(plan.stageCount() * comparisons / FALSE_HALT_PROBABILITY);
@@ -201,7 +202,7 @@
                 : Verdict.inconclusive(reason);
     }
 
-    /** The first comparison that does not show non-inferiority; none without a baseline cohort. */
+    /** Returns the first comparison without non-inferiority; empty without a baseline cohort. */
     private Optional<String> firstUndecided() {
         boolean hasBaselineCohort = order.targetCount(stage) < plan.zoneByMember().size();
         return hasBaselineCohort
@@ -221,7 +222,7 @@
                 .findFirst();
     }
 
-    /** Nothing passes on counters that have stopped coming. */
+    /** Returns a pass only if recent counters are complete. */
     private Verdict passIfMetricsArrive(String reason) {
         int complete = 0;
         for (boolean isComplete : recentComplete) {
--- a/src/main/java/loadbalancer/rollout/analysis/CohortStatistics.java
+++ b/src/main/java/loadbalancer/rollout/analysis/CohortStatistics.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Robust estimates of location: a single value has a bounded influence on them. Stateless. */
+/** Robust estimators of location, on which single values have bounded influence. Stateless. */
 final class CohortStatistics {
-    /** One in so many values is cut off at each end. */
+    /** A tenth of the values is trimmed at each end. */
     private static final int TRIM_ONE_IN = 10;
 
     private CohortStatistics() {}
 
-    /** The median; the mean of the middle two of an even number; NaN if there are no values. */
+    /** Returns the median, averaging the middle two of an even number; NaN without values. */
     static double median(double[] values) {
         double[] sorted = values.clone();
         Arrays.sort(sorted);
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Tukey's trimmed mean: without the least and the greatest tenth, at least one of each, so that
-     * one faulty or malicious balancer is always cut off. Of three values that is the median; of
-     * one or two, where the faulty one is unknown, the plain mean; NaN if there are no values.
+     * Returns Tukey's trimmed mean, without the lowest and the highest tenth and at least one value
+     * at each end, which removes a single faulty or malicious balancer. This is the median of three
+     * values. One or two values are averaged, as the faulty one is unknown; NaN without values.
      */
     static double trimmedMean(double[] values) {
         double[] sorted = values.clone();
@@ -31,7 +31,7 @@
         return Arrays.stream(sorted, trimmed, length - trimmed).average().orElse(Double.NaN);
     }
 
-    /** The value, limited to {@code -bound} to {@code bound}. */
+    /** Limits a value to the range from {@code -bound} to {@code bound}. */
     static double clamp(double value, double bound) {
         return Math.max(-bound, Math.min(bound, value));
     }
--- a/src/main/java/loadbalancer/rollout/analysis/LatencyBuckets.java
+++ b/src/main/java/loadbalancer/rollout/analysis/LatencyBuckets.java
@@ -1,19 +1,19 @@
 package loadbalancer.rollout.analysis;
 
-/** Geometric buckets of response times, the same at all members. Stateless. */
+/** Defines geometric buckets of response times, equal at all members. Stateless. */
 public final class LatencyBuckets {
-    /** How many there are. */
+    /** Number of buckets. */
     public static final int COUNT = 16;
 
-    /** Width of a bucket over that of the one before. */
+    /** Ratio of the widths of consecutive buckets. */
     static final double GROWTH_FACTOR = 1.6;
 
-    /** Upper edge of bucket 0; below it response times differ by the network's jitter only. */
+    /** Upper edge of bucket 0; lower response times differ only by network jitter. */
     private static final double FIRST_EDGE_MICROS = 2_000;
 
     private LatencyBuckets() {}
 
-    /** The bucket of a response time, 0 to {@link #COUNT} - 1. */
+    /** Returns the bucket of a response time, from 0 to {@link #COUNT} - 1. */
     public static int indexOf(double responseTimeMicros) {
         double index =
                 Math.ceil(
@@ -21,7 +21,7 @@
         return (int) Math.max(0, Math.min(COUNT - 1, index));
     }
 
-    /** Upper edge of a bucket in microseconds; the last bucket has none. */
+    /** Returns the upper edge of a bucket in microseconds; the last bucket is unbounded. */
     public static double upperEdgeMicros(int bucket) {
         return FIRST_EDGE_MICROS * Math.pow(GROWTH_FACTOR, bucket);
     }
--- a/src/main/java/loadbalancer/rollout/analysis/MemberBaseline.java
+++ b/src/main/java/loadbalancer/rollout/analysis/MemberBaseline.java
@@ -3,33 +3,34 @@
 import java.util.Arrays;
 
 /**
- * Pre-change baseline of one balancer in one metric, from batches of windows. Windows within a
- * batch are correlated; their spread alone would look smaller than it is. Median and median
- * absolute deviation of the batches keep an incident of the upstreams from shifting the baseline.
+ * Estimates the pre-change baseline of one balancer and metric from batches of windows. Batches are
+ * used because neighbouring windows are correlated, so that their spread underestimates the
+ * variance. The median and the median absolute deviation of the batches prevent an upstream
+ * incident from shifting the baseline.
  *
  * <p>Values are on the metric's scale. Not thread-safe.
  */
 final class MemberBaseline {
-    /** Windows of a batch: 30 s. */
+    /** Number of windows in a batch, which covers 30 s. */
     static final int WINDOWS_PER_BATCH = 6;
 
-    /** With fewer batches the spread is unknown. */
+    /** Minimum number of batches for estimating the spread. */
     private static final int MIN_BATCHES = 4;
 
-    /** One hour; later ones would change little. */
+    /** Batches of one hour; later ones would change the baseline little. */
     private static final int MAX_BATCHES = 120;
 
-    /** Median absolute deviation to standard deviation of a normal distribution. */
+    /** Ratio of standard deviation to median absolute deviation in a normal distribution. */
     private static final double MAD_TO_STANDARD_DEVIATION = 1.4826;
 
-    /** Variance of a median over that of a mean, for a normal distribution. */
+    /** Ratio of the variance of the median to that of the mean in a normal distribution. */
     private static final double MEDIAN_TO_MEAN_VARIANCE = Math.PI / 2;
 
     private double[] batches = new double[0];
     private double median;
     private double medianVariance;
 
-    /** Adds the mean of a batch; NaN, and what comes after the last hour, is ignored. */
+    /** Adds the mean of a batch, ignoring NaN and batches beyond {@link #MAX_BATCHES}. */
     void addBatch(double mean) {
         if (Double.isNaN(mean) || batches.length == MAX_BATCHES) {
             return;
--- a/src/main/java/loadbalancer/rollout/analysis/MetricComparison.java
+++ b/src/main/java/loadbalancer/rollout/analysis/MetricComparison.java
@@ -3,27 +3,27 @@
 import loadbalancer.rollout.plan.Metric;
 
 /**
- * Canary against baseline in one metric of one metric group, within one stage. Two sequential tests
- * run on the same differences: one for a regression, that the canary is worse by more than half of
- * the margin, and one for non-inferiority, that it is not worse by the whole margin. Between the
- * two lies what the error of the pre-change baseline may hide.
+ * Compares the canary with the baseline in one metric of a metric group within a stage. Two
+ * sequential tests run on the same differences. The regression test detects that the canary is
+ * worse by more than half of the margin; the non-inferiority test shows that it is not worse by the
+ * whole margin. The gap between both allows for the error of the pre-change baseline.
  *
  * <p>Values are on the metric's scale ({@link Metric#toMetricScale}). Not thread-safe.
  */
 final class MetricComparison {
-    /** A single observation counts for so many margins at most. */
+    /** Maximum weight of a single observation, in margins. */
     private static final double MAX_MARGINS = 5;
 
-    /** Baseline balancers that changed by so many margins have an incident of their own. */
+    /** A change of the baseline balancers by more margins than this indicates an incident. */
     private static final double INCIDENT_MARGINS = 3;
 
     /**
-     * Standard errors of the pre-change baseline that a regression has to exceed. That error stays
-     * for the whole stage, so that no test can average it away.
+     * Number of standard errors of the pre-change baseline that a regression must exceed. The error
+     * is constant during the stage, so that further observations do not average it out.
      */
     private static final double BASELINE_STANDARD_ERRORS = 2;
 
-    /** Chance, for each metric, that one that is worse by the whole margin passes. */
+    /** Maximum probability, per metric, that a canary worse by the whole margin passes. */
     private static final double FALSE_PASS_PROBABILITY = 0.05;
 
     private static final double LOG_PASS_THRESHOLD = Math.log(1 / FALSE_PASS_PROBABILITY);
@@ -46,20 +46,20 @@
         return margin;
     }
 
-    /** Forgets all observations: a new stage begins. */
+    /** Discards all observations when a new stage begins. */
     void restart() {
         regressionTest = new SequentialTest();
         nonInferiorityTest = new SequentialTest();
     }
 
-    /** The largest deviation with which a balancer counts. */
+    /** Returns the value to which the deviation of a balancer is limited. */
     double deviationBound() {
         return MAX_MARGINS * margin;
     }
 
     /**
-     * Where the baseline balancers of a zone changed by more than this, the zone has an incident
-     * and says nothing about the program.
+     * Returns the change of a zone's baseline balancers above which the zone has an incident and is
+     * not evidence about the program.
      */
     double incidentThreshold() {
         return INCIDENT_MARGINS * margin;
@@ -68,8 +68,8 @@
     /**
      * Adds the difference of one observation.
      *
-     * @param difference by how much the canary is worse
-     * @param baselineVariance variance that the pre-change baselines of both cohorts leave in it
+     * @param difference amount by which the canary is worse
+     * @param baselineVariance variance of the difference due to the pre-change baselines
      */
     void observe(double difference, double baselineVariance) {
         double bound = deviationBound();
@@ -81,7 +81,7 @@
         nonInferiorityTest.observe(margin - clamped, bound - margin);
     }
 
-    /** Whether the evidence for a regression has reached the threshold, a natural logarithm. */
+    /** Returns whether the log e-value of a regression has reached {@code logThreshold}. */
     boolean isRegression(double logThreshold) {
         return regressionTest.logEValue() >= logThreshold;
     }
@@ -90,7 +90,7 @@
         return nonInferiorityTest.logEValue() >= LOG_PASS_THRESHOLD;
     }
 
-    /** Whether a baseline of that variance is known well enough for this margin. */
+    /** Returns whether a baseline of a given variance is precise enough for this margin. */
     boolean isBaselinePreciseEnough(double baselineVariance) {
         return BASELINE_STANDARD_ERRORS * Math.sqrt(baselineVariance) <= margin / 2;
     }
--- a/src/main/java/loadbalancer/rollout/analysis/MetricGroup.java
+++ b/src/main/java/loadbalancer/rollout/analysis/MetricGroup.java
@@ -10,23 +10,24 @@
 import loadbalancer.rollout.plan.Plan;
 
 /**
- * The metrics of one request class, or of the process: counters of all balancers, their pre-change
- * baselines, and the comparisons.
+ * The metrics of one request class or of the process: the counters of all balancers, their
+ * pre-change baselines and the comparisons.
  *
- * <p>One observation of a test is one or more windows of the whole fleet, not a request: requests
- * of one window share its incidents. Within it each balancer counts by its change from its own
- * baseline and from the median of its zone, so that neither an incident of a zone nor a property of
- * the balancer is held against the new program.
+ * <p>One observation of a test covers one or more windows of the whole fleet instead of a request,
+ * because the requests of a window are affected by the same incidents. Each balancer contributes
+ * its change from its own baseline and from the median of its zone, so that an incident of a zone
+ * or a property of a balancer is not attributed to the new program.
  *
- * <p>Not thread-safe. Knows no clock: windows come in order.
+ * <p>Not thread-safe. Windows must be added in order; no clock is read.
  */
 final class MetricGroup {
     /**
-     * Requests of the typical balancer in an observation; with fewer, a failure weighs too much.
+     * Minimum requests of the typical balancer in an observation; with fewer, a single failure has
+     * too much influence.
      */
     private static final double MIN_REQUESTS = 50;
 
-    /** Windows of an observation; with less traffic, the stage waits and times out. */
+    /** Maximum windows in an observation; with less traffic the stage waits and times out. */
     private static final int MAX_WINDOWS = 16;
 
     private final String name;
@@ -64,7 +65,7 @@
         return new MetricComparison(metric, metric.toMetricScale(margin.getValue()));
     }
 
-    /** The metrics of a request class; {@link Plan#OTHER_CLASSES} for all others together. */
+    /** Creates the group of a class; {@link Plan#OTHER_CLASSES} means all other classes. */
     static MetricGroup ofClass(Plan plan, String requestClass, Map<Metric, Double> margins) {
         return new MetricGroup(
                 "class " + requestClass,
@@ -74,7 +75,7 @@
                 plan.zoneByMember());
     }
 
-    /** The metrics of the process. */
+    /** Creates the group of the process metrics. */
     static MetricGroup ofProcess(Plan plan) {
         return new MetricGroup(
                 "the process",
@@ -84,17 +85,17 @@
                 plan.zoneByMember());
     }
 
-    /** For log lines. */
+    /** Returns the name for log lines. */
     String name() {
         return name;
     }
 
-    /** Under which its counters are published. */
+    /** Returns the topic under which the counters of the group are published. */
     String topic() {
         return topic;
     }
 
-    /** How many values its counters have. */
+    /** Returns the number of values in the counters of the group. */
     int valueCount() {
         return isProcess ? WindowCounters.PROCESS_VALUES : WindowCounters.CLASS_VALUES;
     }
@@ -103,12 +104,12 @@
         return comparisons;
     }
 
-    /** Whether it had no traffic before the change: then there is nothing to compare. */
+    /** Returns whether there was no traffic before the change and so nothing to compare. */
     boolean isIdle() {
         return isIdle;
     }
 
-    /** Adds a window from before the change. */
+    /** Adds a window of the time before the change. */
     void addBaselineWindow(Map<String, long[]> countersByMember) {
         sums.addWindow(countersByMember);
         if (sums.windows() < MemberBaseline.WINDOWS_PER_BATCH) {
@@ -153,7 +154,7 @@
         return windows;
     }
 
-    /** Whether the baseline of so many balancers at least is known well enough for the margins. */
+    /** Returns whether at least {@code minMembers} baselines are precise enough for the margins. */
     boolean isBaselineKnown(int minMembers) {
         for (int i = 0; i < comparisons.size(); i++) {
             int index = i;
@@ -171,7 +172,7 @@
         return true;
     }
 
-    /** A new stage begins: forgets the observations of the last one. */
+    /** Starts a new stage and discards the observations of the previous one. */
     void startStage() {
         comparisons.forEach(MetricComparison::restart);
         preChange.restart();
@@ -212,7 +213,7 @@
         observe(comparison, cohortsByZone.values());
     }
 
-    /** A member's baseline in the metric with that index; null if it is not known. */
+    /** Returns a member's baseline in the metric with an index, or null if it is not known. */
     private MemberBaseline knownBaseline(String member, int index) {
         MemberBaseline[] baselines = baselinesByMember.get(member);
         return baselines != null && baselines[index].isKnown() ? baselines[index] : null;
@@ -228,7 +229,7 @@
         }
     }
 
-    /** The metric in which both cohorts together are worse than before the change. */
+    /** Returns the first metric in which both cohorts together are worse than before. */
     Optional<Metric> worseThanBeforeChange() {
         return preChange.worseMetric(comparisons);
     }
--- a/src/main/java/loadbalancer/rollout/analysis/MetricValues.java
+++ b/src/main/java/loadbalancer/rollout/analysis/MetricValues.java
@@ -2,11 +2,11 @@
 
 import loadbalancer.rollout.plan.Metric;
 
-/** Values of the compared metrics from the counters of one or more windows. Stateless. */
+/** Computes metric values from the counters of one or more windows. Stateless. */
 final class MetricValues {
     private MetricValues() {}
 
-    /** The metric's value on its own scale; NaN where the counters do not define it. */
+    /** Returns the value on the metric's scale, or NaN if the counters do not define it. */
     static double of(Metric metric, long[] values) {
         double requests = WindowCounters.completedRequests(values);
         return switch (metric) {
@@ -27,13 +27,13 @@
         };
     }
 
-    /** A balancer with no attempts at all does not count them. */
+    /** Returns NaN for zero attempts, since such a balancer does not count attempts. */
     private static double attemptsPerRequest(long[] values, double requests) {
         long attempts = values[WindowCounters.ATTEMPTS];
         return attempts == 0 ? Double.NaN : attempts / requests;
     }
 
-    /** Mean logarithm of the response times, by the middles of their buckets. */
+    /** Returns the mean logarithm of the response times, using the middle of each bucket. */
     private static double meanLogResponseTime(long[] values) {
         double sum = 0;
         double count = 0;
--- a/src/main/java/loadbalancer/rollout/analysis/SequentialTest.java
+++ b/src/main/java/loadbalancer/rollout/analysis/SequentialTest.java
@@ -1,20 +1,20 @@
 package loadbalancer.rollout.analysis;
 
 /**
- * A sequential test of one hypothesis on a bounded mean, as an e-process: where the hypothesis
- * holds, the e-value is a non-negative supermartingale that begins at 1, so the chance that it ever
- * reaches 1/alpha is alpha at most, however often it is read (Ville 1939). The e-process is a
+ * Tests one hypothesis on a bounded mean sequentially, with an e-process. If the hypothesis is
+ * true, the e-value is a non-negative supermartingale that starts at 1, so the probability that it
+ * ever reaches 1/alpha is at most alpha, however often it is read (Ville 1939). The e-process is a
  * mixture over a grid of constant betting fractions (Waudby-Smith and Ramdas, "Estimating means of
- * bounded random variables by betting", JRSS B 2024). It grows nearly like the best fraction of the
- * grid and needs no estimate of the variance.
+ * bounded random variables by betting", JRSS B 2024). It grows almost as fast as with the best
+ * fraction of the grid and needs no estimate of the variance.
  *
- * <p>No observation more than doubles the e-value, so fewer than log2(1/alpha) observations never
- * decide.
+ * <p>An observation at most doubles the e-value, so fewer than log2(1/alpha) observations never
+ * lead to a decision.
  *
- * <p>Not thread-safe. Knows no clock; values have the unit of the compared metric.
+ * <p>Not thread-safe. No clock is read; values have the unit of the compared metric.
  */
 final class SequentialTest {
-    /** Each fraction is half of the one before: the smallest detects differences of about 1%. */
+    /** Each fraction is half of the previous one; the smallest detects differences of about 1%. */
     private static final int BETTING_FRACTIONS = 8;
 
     /** Below 1, since an e-value of 0 could never recover. */
@@ -25,8 +25,9 @@
     /**
      * Adds one observation.
      *
-     * @param payoff of mean 0 or less where the hypothesis holds
-     * @param maxLoss the payoff is never below its negative; fixed before the observation
+     * @param payoff value whose mean is 0 or less if the hypothesis is true
+     * @param maxLoss largest possible loss, fixed before the observation; the payoff is at least
+     *     its negative
      */
     void observe(double payoff, double maxLoss) {
         double relativePayoff = Math.max(-1, payoff / maxLoss);
@@ -35,7 +36,7 @@
         }
     }
 
-    /** Natural logarithm of the e-value: the evidence against the hypothesis. */
+    /** Returns the natural logarithm of the e-value, the evidence against the hypothesis. */
     double logEValue() {
         double largest = Double.NEGATIVE_INFINITY;
         for (double logEValue : logEValues) {
--- a/src/main/java/loadbalancer/rollout/analysis/Verdict.java
+++ b/src/main/java/loadbalancer/rollout/analysis/Verdict.java
@@ -1,10 +1,10 @@
 package loadbalancer.rollout.analysis;
 
-/** A member's verdict on the open stage, and its reason as a line for operators. */
+/** A member's verdict on the open stage with its reason, one line for operators. */
 public record Verdict(Kind kind, String reason) {
-    /** What follows from the verdict. */
+    /** The result of the analysis. */
     public enum Kind {
-        /** Not enough is known: the stage goes on. */
+        /** The evidence is not sufficient, so the stage continues. */
         INCONCLUSIVE,
         /** The next stage may open. */
         PASS,
@@ -12,7 +12,7 @@
         FAIL
     }
 
-    /** Not enough is known, for that reason. */
+    /** Creates an inconclusive verdict. */
     public static Verdict inconclusive(String reason) {
         return new Verdict(Kind.INCONCLUSIVE, reason);
     }
--- a/src/main/java/loadbalancer/rollout/analysis/WindowCollector.java
+++ b/src/main/java/loadbalancer/rollout/analysis/WindowCollector.java
@@ -8,14 +8,14 @@
 import loadbalancer.rollout.plan.RolloutOrder;
 
 /**
- * Collects the counters of a window from the fleet, and says whether they are complete. Windows are
- * numbered by the wall clock. Not thread-safe; keeps no state.
+ * Collects the counters of a window from the fleet and checks whether they are complete. Windows
+ * are numbered by the wall clock. Not thread-safe; has no mutable state.
  */
 final class WindowCollector {
-    /** Fraction of the stage's canary balancers that must be there; of fewer than ten, all. */
+    /** Fraction of the stage's canary balancers required; all are required below ten. */
     private static final double MIN_CANARY_FRACTION = 0.9;
 
-    /** A balancer counts for at most so many times the requests of the typical one. */
+    /** Limits the requests of a balancer to a multiple of those of the typical balancer. */
     private static final double MAX_TYPICAL_LOADS = 4;
 
     private final Plan plan;
@@ -28,7 +28,7 @@
         this.shared = shared;
     }
 
-    /** Valid counters, by member, of members that may run what they say they run. */
+    /** Returns the valid counters by member, without members not admitted to their cohort. */
     Map<String, long[]> collect(MetricGroup group, long window, int stage) {
         Map<String, long[]> countersByMember = new TreeMap<>();
         for (Counters counters : shared.counters(group.topic(), window).values()) {
@@ -46,7 +46,7 @@
         return countersByMember;
     }
 
-    /** Whether enough members of both cohorts are there. */
+    /** Returns whether there are counters of enough members of both cohorts. */
     boolean isComplete(Map<String, long[]> countersByMember, int stage) {
         int members = plan.zoneByMember().size();
         int target = order.targetCount(stage);
@@ -58,7 +58,7 @@
                         && 2 * baselines >= members - target;
     }
 
-    /** Requests that the canary served, from the counters of the process. */
+    /** Returns the requests served by the canary, from the counters of the process. */
     static double canaryRequests(Map<String, long[]> processCounters) {
         double typical =
                 CohortStatistics.median(
--- a/src/main/java/loadbalancer/rollout/analysis/WindowCounters.java
+++ b/src/main/java/loadbalancer/rollout/analysis/WindowCounters.java
@@ -3,11 +3,11 @@
 import org.HdrHistogram.AbstractHistogram;
 
 /**
- * Layout of the counters that a balancer publishes for each window, first the cohort bits, then the
- * counters of a request class or of the process. A window in which both programs served has both
- * bits and counts for neither cohort.
+ * Defines the layout of the counters that a balancer publishes per window: the cohort bits,
+ * followed by the counters of a request class or of the process. A window in which both programs
+ * served has both bits set and counts for neither cohort.
  *
- * <p>Stateless. The layout and the topics are shared with members of other versions.
+ * <p>Stateless. All versions use the same layout and topics.
  */
 public final class WindowCounters {
     /** Index of the cohort bits. */
@@ -28,7 +28,7 @@
     /** Index of requests that the balancer rejected. */
     public static final int REJECTED = 3;
 
-    /** Index of requests with an error response, or none. */
+    /** Index of requests with an error response or no response. */
     public static final int FAILED = 4;
 
     /** Index of attempts at upstreams. */
@@ -40,13 +40,13 @@
     /** Index of requests in the counters of the process. */
     public static final int REQUESTS = 1;
 
-    /** Index of processor time, microseconds. */
+    /** Index of the processor time in microseconds. */
     public static final int CPU_MICROS = 2;
 
-    /** Index of resident memory, kilobytes. */
+    /** Index of the resident memory in kilobytes. */
     public static final int MEMORY_KILOBYTES = 3;
 
-    /** Index of the number of windows: 1, so that it adds up in sums. */
+    /** Index of the number of windows, which is 1 and accumulates in sums. */
     public static final int WINDOWS = 4;
 
     /** Number of counters of the process. */
@@ -54,7 +54,7 @@
 
     private static final int FIRST_BUCKET = 6;
 
-    /** Far above what a balancer can count, and no sum of 1,000 members overflows. */
+    /** Exceeds any real count, while sums over 1,000 members do not overflow. */
     private static final long MAX_VALUE = 1L << 50;
 
     private static final String CLASS_TOPIC_PREFIX = "rollout/c/";
@@ -62,26 +62,27 @@
 
     private WindowCounters() {}
 
-    /** The topic of a request class of a plan; {@code Plan.OTHER_CLASSES} for all others. */
+    /** Returns the topic of a class; {@code Plan.OTHER_CLASSES} means all other classes. */
     public static String classTopic(String planKey, String requestClass) {
         return CLASS_TOPIC_PREFIX + planKey + "/" + requestClass;
     }
 
-    /** The topic of the process as a whole. */
+    /** Returns the topic of the process. */
     public static String processTopic(String planKey) {
         return PROCESS_TOPIC_PREFIX + planKey;
     }
 
-    /** The index of a bucket of response times among a class's counters. */
+    /** Returns the index of a response time bucket in the counters of a class. */
     public static int bucketIndex(int bucket) {
         return FIRST_BUCKET + bucket;
     }
 
     /**
-     * The counters of a request class in a window.
+     * Returns the counters of a request class in a window.
      *
-     * @param outcomes served on time, served late, rejected, failed, attempts
-     * @param responseTimes microseconds
+     * @param outcomes numbers of requests served on time, served late, rejected and failed, and of
+     *     attempts
+     * @param responseTimes response times in microseconds
      */
     public static long[] ofClass(long cohort, long[] outcomes, AbstractHistogram responseTimes) {
         long[] values = new long[CLASS_VALUES];
@@ -103,13 +104,13 @@
         return values;
     }
 
-    /** The counters of the process in a window. */
+    /** Returns the counters of the process in a window. */
     public static long[] ofProcess(
             long cohort, long requests, long cpuMicros, long memoryKilobytes) {
         return new long[] {cohort, requests, cpuMicros, memoryKilobytes, 1};
     }
 
-    /** Whether values received from another member can be counters of one cohort. */
+    /** Returns whether values from another member are valid counters of one cohort. */
     static boolean isValid(long[] values, int length) {
         if (values.length < length) {
             return false;
@@ -126,7 +127,7 @@
         return values[COHORT] == CANARY;
     }
 
-    /** Completed requests of a class. */
+    /** Returns the number of completed requests of a class. */
     static double completedRequests(long[] values) {
         return (double) values[SERVED_ON_TIME]
                 + values[SERVED_LATE]
--- a/src/main/java/loadbalancer/rollout/analysis/WindowSums.java
+++ b/src/main/java/loadbalancer/rollout/analysis/WindowSums.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counters of each member, summed up over consecutive windows. Not thread-safe. */
+/** Sums the counters of each member over consecutive windows. Not thread-safe. */
 final class WindowSums {
     private final int valueCount;
     private final Map<String, long[]> sumsByMember = new TreeMap<>();
     private final Map<String, Integer> windowsByMember = new HashMap<>();
     private int windows;
 
-    /** For counters with so many values, the cohort among them. */
+    /** Creates sums of counters with {@code valueCount} values, including the cohort. */
     WindowSums(int valueCount) {
         this.valueCount = valueCount;
     }
 
-    /** Adds a window. A member that has changed its cohort counts from this window on. */
+    /** Adds a window. The sums of a member restart with this window if its cohort changed. */
     void addWindow(Map<String, long[]> countersByMember) {
         windows++;
         countersByMember.forEach(this::add);
@@ -39,12 +39,12 @@
         return windows;
     }
 
-    /** The sums; their cohort is that of the member. */
+    /** Returns the sums by member, which include the cohort of the member. */
     Map<String, long[]> byMember() {
         return sumsByMember;
     }
 
-    /** Drops members that miss more than half of the windows. */
+    /** Removes members without counters in more than half of the windows. */
     void removeIncompleteMembers() {
         sumsByMember.keySet().removeIf(member -> 2 * windowsByMember.get(member) < windows);
     }
--- a/src/main/java/loadbalancer/rollout/analysis/ZoneCohorts.java
+++ b/src/main/java/loadbalancer/rollout/analysis/ZoneCohorts.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Baseline and canary balancers of a zone, or of all zones: how far each is from its own pre-change
- * baseline, in one observation of one metric. Values are on the metric's scale. Not thread-safe.
+ * The changes of baseline and canary balancers from their own pre-change baselines, for a zone or
+ * all zones, in one observation of one metric. Values are on the metric's scale. Not thread-safe.
  */
 final class ZoneCohorts {
     private final List<Double> baselineChanges = new ArrayList<>();
@@ -16,7 +16,7 @@
     /**
      * Adds a balancer.
      *
-     * @param change its value less the median of its pre-change baseline
+     * @param change value of the balancer minus the median of its pre-change baseline
      * @param medianVariance variance of that median
      */
     void add(boolean isCanary, double change, double medianVariance) {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Adds this zone's changes to {@code total}, each from the zone's own median. A zone with one
-     * cohort only compares nothing. Nor does one whose baseline balancers changed by more than
-     * {@code incidentThreshold}: its upstreams have an incident, and how hard that hits a balancer
-     * differs from balancer to balancer.
+     * Adds this zone's changes to {@code total}, relative to the median of the zone. Zones with
+     * only one cohort are skipped. Zones whose baseline balancers changed by more than {@code
+     * incidentThreshold} are skipped too, since an incident of their upstreams affects each
+     * balancer differently.
      */
     void addTo(ZoneCohorts total, double bound, double incidentThreshold) {
         if (!hasBothCohorts() || baselineShift() > incidentThreshold) {
@@ -60,13 +60,13 @@
         return Math.abs(CohortStatistics.median(CohortStatistics.toArray(baselineChanges)));
     }
 
-    /** By how much the canary is worse than the baseline. */
+    /** Returns the amount by which the canary is worse than the baseline. */
     double difference() {
         return CohortStatistics.trimmedMean(CohortStatistics.toArray(canaryChanges))
                 - CohortStatistics.trimmedMean(CohortStatistics.toArray(baselineChanges));
     }
 
-    /** Variance of the difference that comes from the pre-change baselines. */
+    /** Returns the variance of the difference due to the pre-change baselines. */
     double baselineVariance() {
         return baselineVarianceSum / baselineChanges.size() / baselineChanges.size()
                 + canaryVarianceSum / canaryChanges.size() / canaryChanges.size();
--- a/src/main/java/loadbalancer/rollout/analysis/package-info.java
+++ b/src/main/java/loadbalancer/rollout/analysis/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Automated canary analysis: whether balancers on the new program do worse than those on the old
- * one, by sequential tests on robust differences that may be read after every window. Missing, late
- * or too few metrics make a verdict inconclusive, never a pass.
+ * Automated canary analysis. Sequential tests on robust differences, which may be read after every
+ * window, detect whether balancers with the new program perform worse than those with the old one.
+ * Missing, late or too few metrics make a verdict inconclusive and never a pass.
  */
 package loadbalancer.rollout.analysis;
--- a/src/main/java/loadbalancer/rollout/package-info.java
+++ b/src/main/java/loadbalancer/rollout/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Staged rollouts: a program or its settings change in stages while the canary balancers are
- * compared with the others, and a stage that does worse halts the rollout. Logic only: time, random
- * numbers and the fleet's statements are passed in. {@code docs/rollout-design.md} has the design.
+ * Rolls out a program or its settings in stages. The canary balancers are compared with the others,
+ * and a regression in any stage halts the rollout. The classes do no I/O: the caller passes in
+ * time, random numbers and the fleet's statements. See {@code docs/rollout-design.md} for the
+ * design.
  */
 package loadbalancer.rollout;
--- a/src/main/java/loadbalancer/rollout/plan/Digests.java
+++ b/src/main/java/loadbalancer/rollout/plan/Digests.java
@@ -14,9 +14,9 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** SHA-256 digests, in lower-case hexadecimal digits, of what a plan changes. Stateless. */
+/** Computes SHA-256 digests of programs and files, in lower-case hexadecimal. Stateless. */
 public final class Digests {
-    /** A program has some dozen files; many more are a wrong folder. */
+    /** A program has a few dozen files; a folder with many more is the wrong one. */
     private static final int MAX_FILES = 10_000;
 
     private static final HexFormat HEX = HexFormat.of();
@@ -24,12 +24,12 @@
     private Digests() {}
 
     /**
-     * Digest of a file or folder. Of a file: that of its bytes. Of a folder: that of a line {@code
-     * <hex SHA-256 of the content> <relative name>\n} for each file, sorted by name with {@code /}
-     * between its parts, which {@code sha256sum} can check.
+     * Returns the digest of a file's bytes or of a folder. The digest of a folder covers one line
+     * {@code <hex SHA-256 of the content> <relative name>\n} per file, sorted by name with {@code
+     * /} as separator, and can be checked with {@code sha256sum}.
      *
-     * @throws IOException if something can't be read, or the folder holds more than 10,000 files or
-     *     anything that is neither file nor folder: a link could lead anywhere
+     * @throws IOException if a file cannot be read, or if the folder has more than 10,000 files or
+     *     an entry that is neither a file nor a folder, since a link could point anywhere
      */
     public static String ofPath(Path path) throws IOException {
         return Files.isDirectory(path) ? ofFolder(path) : ofFile(path);
@@ -40,7 +40,7 @@
         for (String name : relativeNames(folder)) {
             Path file = folder.resolve(name);
             if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS)) {
-                throw new IOException(file + " is no plain file");
+                throw new IOException(file + " is not a regular file");
             }
             String line = ofFile(file) + "  " + name + "\n";
             digest.update(line.getBytes(StandardCharsets.UTF_8));
@@ -73,7 +73,7 @@
         return HEX.formatHex(digest.digest());
     }
 
-    /** Digest of a text in UTF-8. */
+    /** Returns the digest of a text in UTF-8. */
     static String ofText(String text) {
         return HEX.formatHex(sha256().digest(text.getBytes(StandardCharsets.UTF_8)));
     }
@@ -82,7 +82,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform provides SHA-256", e);
         }
     }
 }
--- a/src/main/java/loadbalancer/rollout/plan/InvalidPlanException.java
+++ b/src/main/java/loadbalancer/rollout/plan/InvalidPlanException.java
@@ -1,13 +1,13 @@
 package loadbalancer.rollout.plan;
 
-/** A plan that can't be used; the message is one line with place and reason. */
+/** Thrown when a plan is invalid; the message is one line with the place and the reason. */
 public final class InvalidPlanException extends Exception {
     private static final long serialVersionUID = 1;
 
     /**
-     * Rejects a plan.
+     * Creates an exception for a rejected plan.
      *
-     * @param place the key or line of the plan
+     * @param place key or line of the plan
      */
     public InvalidPlanException(String place, String reason) {
         super(place + ": " + reason);
--- a/src/main/java/loadbalancer/rollout/plan/MarginsReader.java
+++ b/src/main/java/loadbalancer/rollout/plan/MarginsReader.java
@@ -12,18 +12,18 @@
     private static final double MIN_MARGIN = 0.001;
     private static final double MAX_MARGIN = 1;
 
-    /** Each class costs a set of counters for each balancer and window. */
+    /** Bounds the counters, of which each balancer publishes a set per class and window. */
     private static final int MAX_CLASSES = 8;
 
-    /** So that it fits in a topic of the fleet. */
+    /** Ensures that the name fits in a topic. */
     private static final int MAX_CLASS_NAME_LENGTH = 48;
 
     private MarginsReader() {}
 
     /**
-     * The margins of classes that have none of their own, and of the process.
+     * Reads the margins of the process and of classes without margins of their own.
      *
-     * @throws InvalidPlanException if the section can't be used
+     * @throws InvalidPlanException if the section is invalid
      */
     static Map<Metric, Double> readDefaults(PlanSection section) throws InvalidPlanException {
         Map<Metric, Double> margins = new EnumMap<>(Metric.class);
@@ -35,9 +35,9 @@
     }
 
     /**
-     * The margins of classes that have some of their own, by name.
+     * Reads the margins of classes with margins of their own, by name.
      *
-     * @throws InvalidPlanException if the section can't be used
+     * @throws InvalidPlanException if the section is invalid
      */
     static Map<String, Map<Metric, Double>> readClasses(JsonNode node, Map<Metric, Double> defaults)
             throws InvalidPlanException {
@@ -55,7 +55,7 @@
                                 + MAX_CLASS_NAME_LENGTH
                                 + " characters, "
                                 + Plan.OTHER_CLASSES
-                                + " is taken");
+                                + " is reserved");
             }
             PlanSection section = new PlanSection(place + ".", entry.getValue());
             marginsByClass.put(name, readClass(section, defaults));
--- a/src/main/java/loadbalancer/rollout/plan/Metric.java
+++ b/src/main/java/loadbalancer/rollout/plan/Metric.java
@@ -1,6 +1,6 @@
 package loadbalancer.rollout.plan;
 
-/** What is compared between baseline and canary balancers; more of it is worse. */
+/** Metrics compared between baseline and canary balancers; higher values are worse. */
 public enum Metric {
     /** Ratio of requests not served within their latency objective. */
     NOT_SERVED_ON_TIME("served", 0.01, false),
@@ -8,7 +8,7 @@
     SERVED_LATE("late", 0.01, false),
     /** Ratio of requests rejected by the balancer. */
     REJECTED("refused", 0.01, false),
-    /** Ratio of requests with an error response, or none. */
+    /** Ratio of requests with an error response or no response. */
     FAILED("failed", 0.01, false),
     /** Attempts per request. */
     ATTEMPTS("attempts", 0.1, false),
@@ -29,22 +29,22 @@
         this.isRelative = isRelative;
     }
 
-    /** The key of its margin in a plan. */
+    /** Returns the key of the metric's margin in a plan. */
     public String key() {
         return key;
     }
 
-    /** The margin where a plan gives none. */
+    /** Returns the margin to use if a plan has none. */
     double defaultMargin() {
         return defaultMargin;
     }
 
-    /** Whether it is a metric of the process as a whole, not of a request class. */
+    /** Returns whether the metric describes the whole process instead of a request class. */
     public boolean isProcessMetric() {
         return this == CPU_TIME || this == MEMORY;
     }
 
-    /** A plan's margin on the metric's own scale: of a relative metric, 0.1 means a tenth more. */
+    /** Converts a plan's margin to the metric's scale; 0.1 of a relative metric means 10% more. */
     public double toMetricScale(double margin) {
         return isRelative ? Math.log1p(margin) : margin;
     }
--- a/src/main/java/loadbalancer/rollout/plan/Plan.java
+++ b/src/main/java/loadbalancer/rollout/plan/Plan.java
@@ -4,19 +4,19 @@
 import java.util.Map;
 
 /**
- * A staged rollout as operators ask for it. Immutable; plans are equal if their keys are.
+ * The plan of a staged rollout, written by operators. Immutable; plans with the same key are equal.
  *
- * @param key the first 32 hexadecimal digits of the SHA-256 of its text: identifies a plan,
- *     whatever it is called
- * @param id the operators' name
- * @param number of two concurrent plans the lower one wins; each new plan takes a higher one
- * @param text what is replicated, at most {@link PlanFile#MAX_BYTES} bytes
- * @param stageFractions fraction of the fleet in each stage, rising to 1
- * @param minServingFraction of the fleet that must serve while a further balancer changes
- * @param maxConcurrentChanges balancers that may change at one time
- * @param classMargins margins of the request classes that are analyzed apart, by name
- * @param defaultMargins margins of all other classes together, and of the process
- * @param zoneByMember each balancer's zone; its keys are the fleet that the plan is for
+ * @param key first 32 hexadecimal digits of the SHA-256 of the text, which identify the plan
+ *     independently of its name
+ * @param id name given by the operators
+ * @param number each new plan has a higher number; of concurrent plans the lowest number wins
+ * @param text replicated text, at most {@link PlanFile#MAX_BYTES} bytes
+ * @param stageFractions fraction of the fleet changed in each stage, increasing to 1
+ * @param minServingFraction fraction of the fleet that must serve while another balancer changes
+ * @param maxConcurrentChanges number of balancers that may change at the same time
+ * @param classMargins margins of the request classes that are analyzed separately, by name
+ * @param defaultMargins margins of the process and of all other classes, analyzed together
+ * @param zoneByMember zone of each balancer; the keys are the members of the fleet
  */
 public record Plan(
         String key,
@@ -32,35 +32,35 @@
         Map<Metric, Double> defaultMargins,
         Map<String, String> zoneByMember)
         implements Comparable<Plan> {
-    /** The name under which all classes without margins of their own are counted. */
+    /** The name that stands for all classes without margins of their own. */
     public static final String OTHER_CLASSES = "-";
 
-    /** Keeps a product of decimal fraction and members from being rounded up past a whole one. */
+    /** Prevents a floating-point error in fraction times members from being rounded up. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** The lower number first, and of one number the lower key: the same at all members. */
+    /** Orders plans by number, then by key, which is the same order at all members. */
     @Override
     public int compareTo(Plan other) {
         int byNumber = Long.compare(number, other.number);
         return byNumber != 0 ? byNumber : key.compareTo(other.key);
     }
 
-    /** Balancers that must serve while a further one changes. */
+    /** Returns how many balancers must serve while another one changes. */
     public int minServing() {
         return (int) Math.ceil(minServingFraction * zoneByMember.size() - ROUNDING_TOLERANCE);
     }
 
-    /** Balancers that may be changing or down at one time. */
+    /** Returns how many balancers may be changing or down at the same time. */
     public int maxUnavailable() {
         return zoneByMember.size() - minServing();
     }
 
-    /** Number of stages; they count from 1, stage 0 is the time before the change. */
+    /** Returns the number of stages, counted from 1; stage 0 is the time before the change. */
     public int stageCount() {
         return stageFractions.size();
     }
 
-    /** For log lines. */
+    /** Returns the name and number for log lines. */
     public String title() {
         return "plan " + id + ", number " + number;
     }
--- a/src/main/java/loadbalancer/rollout/plan/PlanFieldNames.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlanFieldNames.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Keys of a plan file, as {@code docs/rollout.md} gives them; metrics have theirs in {@link
+ * Keys of a plan file, documented in {@code docs/rollout.md}. The keys of metrics are in {@link
  * Metric}.
  */
 final class PlanFieldNames {
@@ -25,7 +25,7 @@
     static final String MIN_SECONDS = "seconds";
     static final String MAX_SECONDS = "longest";
 
-    /** What the digest begins with; 64 hexadecimal digits follow. */
+    /** Prefix of the digest, followed by 64 hexadecimal digits. */
     static final String DIGEST_PREFIX = "sha256:";
 
     static final List<String> TOP_LEVEL =
--- a/src/main/java/loadbalancer/rollout/plan/PlanFile.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlanFile.java
@@ -10,11 +10,11 @@
 import java.util.TreeMap;
 
 /**
- * Parses a plan's text, TOML as {@code docs/rollout.md} shows it. An invalid plan is rejected as a
- * whole, in one line with its place. Stateless.
+ * Parses plans, which are TOML files documented in {@code docs/rollout.md}. An invalid plan is
+ * rejected as a whole with a one-line message that names the place. Stateless.
  */
 public final class PlanFile {
-    /** Bytes of a plan at most: what one document of the fleet holds. */
+    /** Maximum size of a plan in bytes, so that it fits in one replicated document. */
     public static final int MAX_BYTES = 16 * 1024;
 
     private static final int KEY_LENGTH = 32;
@@ -32,9 +32,9 @@
     private PlanFile() {}
 
     /**
-     * Parses and checks a plan; its fleet is empty if it has no {@code [zones]}.
+     * Parses and checks a plan. Its map of zones is empty if the text has no {@code [zones]}.
      *
-     * @throws InvalidPlanException if the text is no plan that can be used
+     * @throws InvalidPlanException if the plan is invalid
      */
     public static Plan parse(String text) throws InvalidPlanException {
         PlanSection top = new PlanSection("", parseToml(text));
@@ -77,10 +77,10 @@
     }
 
     /**
-     * The same text with the fleet's balancers and their zones appended, where it does not name
-     * them.
+     * Appends the fleet's balancers and their zones to a plan without {@code [zones]}, and returns
+     * the text.
      *
-     * @throws InvalidPlanException if the text is no TOML or too long
+     * @throws InvalidPlanException if the text is not valid TOML or too long
      */
     public static String withZones(String text, Map<String, String> zoneByMember)
             throws InvalidPlanException {
@@ -112,7 +112,7 @@
     private static JsonNode parseToml(String text) throws InvalidPlanException {
         if (text.getBytes(StandardCharsets.UTF_8).length > MAX_BYTES) {
             throw new InvalidPlanException(
-                    "plan", "longer than " + MAX_BYTES + " bytes with its zones");
+                    "plan", "exceeds the maximum of " + MAX_BYTES + " bytes including its zones");
         }
         try {
             return new TomlMapper().readTree(text);
@@ -121,8 +121,8 @@
             throw new InvalidPlanException(
                     "plan" + line, e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (RuntimeException | StackOverflowError e) {
-            // A plan may come from any member: nothing that the parser throws may end this process.
-            throw new InvalidPlanException("plan", "not understood");
+            // Any member may send a plan, so no exception of the parser may end this process.
+            throw new InvalidPlanException("plan", "not valid TOML");
         }
     }
 
@@ -135,7 +135,8 @@
         String digest = top.requireText(PlanFieldNames.DIGEST);
         if (!digest.matches(PlanFieldNames.DIGEST_PREFIX + "[0-9a-f]{64}")) {
             throw new InvalidPlanException(
-                    PlanFieldNames.DIGEST, "expected sha256: and 64 small hex digits");
+                    PlanFieldNames.DIGEST,
+                    "expected sha256: followed by 64 lower-case hexadecimal digits");
         }
         String name =
                 top.requireName(isProgram ? PlanFieldNames.PROGRAM : PlanFieldNames.OPERATOR_FILE);
@@ -153,7 +154,7 @@
             if (!fraction.isNumber() || !(value > previous) || value > 1) {
                 throw new InvalidPlanException(
                         stagePlace(fractions.size()),
-                        "expected shares of the fleet that rise to 1.0");
+                        "expected fractions of the fleet that increase to 1.0");
             }
             previous = value;
             fractions.add(value);
@@ -161,7 +162,7 @@
         if (!node.isArray() || previous != 1 || fractions.size() > MAX_STAGES) {
             throw new InvalidPlanException(
                     PlanFieldNames.STAGE_FRACTIONS,
-                    "expected 1 to " + MAX_STAGES + " shares of the fleet that rise to 1.0");
+                    "expected 1 to " + MAX_STAGES + " fractions of the fleet that increase to 1.0");
         }
         return List.copyOf(fractions);
     }
@@ -193,14 +194,14 @@
                 if (!name.isTextual() || zoneByMember.put(name.asText(), zone.getKey()) != null) {
                     throw new InvalidPlanException(
                             PlanFieldNames.ZONES + "." + zone.getKey(),
-                            "expected names, each once");
+                            "expected unique balancer names");
                 }
             }
         }
         return zoneByMember;
     }
 
-    /** Checks what depends on the size of the fleet. */
+    /** Checks the values that depend on the size of the fleet. */
     private static void requireFit(Plan plan) throws InvalidPlanException {
         int members = plan.zoneByMember().size();
         int previousTarget = 0;
--- a/src/main/java/loadbalancer/rollout/plan/PlanSection.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlanSection.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 
-/** One table of a plan file; each exception names the key. Immutable. */
+/** A table of a plan file that checks values when they are read. Immutable. */
 final class PlanSection {
-    /** No path, and nothing that a shell or a log takes for more than a name. */
+    /** Excludes paths and characters with a special meaning in shells or logs. */
     private static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,47}";
 
     private final String prefix;
     private final JsonNode node;
 
     /**
-     * Of a node that may be missing.
+     * Creates a section for a node that may be missing.
      *
-     * @param prefix of its keys in messages
+     * @param prefix prefix of the keys in messages
      */
     PlanSection(String prefix, JsonNode node) {
         this.prefix = prefix;
@@ -22,20 +22,20 @@
     }
 
     /**
-     * Checks that it is a table or missing.
+     * Checks that the section is a table or missing.
      *
-     * @throws InvalidPlanException if it is anything else
+     * @throws InvalidPlanException if the section has another type
      */
     void requireTable() throws InvalidPlanException {
         if (!node.isMissingNode() && !node.isObject()) {
-            throw new InvalidPlanException(prefix, "expected a section");
+            throw new InvalidPlanException(prefix, "expected a table");
         }
     }
 
     /**
-     * Checks that it has no other keys.
+     * Checks that the section has only known keys.
      *
-     * @throws InvalidPlanException if it has, or is no table
+     * @throws InvalidPlanException if there is an unknown key or the section is not a table
      */
     void requireKnownKeys(List<String> known) throws InvalidPlanException {
         requireTable();
@@ -56,27 +56,27 @@
         return node.path(key);
     }
 
-    /** A table in this one. */
+    /** Returns a nested table. */
     PlanSection section(String key) {
         return new PlanSection(key + ".", node.path(key));
     }
 
     /**
-     * A string.
+     * Returns a required string.
      *
-     * @throws InvalidPlanException if it is missing or anything else
+     * @throws InvalidPlanException if the value is missing or not a string
      */
     String requireText(String key) throws InvalidPlanException {
         if (!node.path(key).isTextual()) {
-            throw new InvalidPlanException(prefix + key, "expected a text");
+            throw new InvalidPlanException(prefix + key, "expected a string");
         }
         return node.path(key).asText();
     }
 
     /**
-     * A plain name of 1 to 48 characters.
+     * Returns a required name of 1 to 48 characters.
      *
-     * @throws InvalidPlanException if it is missing or anything else
+     * @throws InvalidPlanException if the value is missing or not a name
      */
     String requireName(String key) throws InvalidPlanException {
         String text = requireText(key);
@@ -88,9 +88,9 @@
     }
 
     /**
-     * A whole number within bounds that must be there.
+     * Returns a required whole number within inclusive bounds.
      *
-     * @throws InvalidPlanException if it is missing or anything else
+     * @throws InvalidPlanException if the value is missing or invalid
      */
     long requireLong(String key, long min, long max) throws InvalidPlanException {
         JsonNode value = node.path(key);
@@ -105,9 +105,9 @@
     }
 
     /**
-     * A whole number within bounds, or the default where it is missing.
+     * Returns a whole number within inclusive bounds, or the default if the key is missing.
      *
-     * @throws InvalidPlanException if it is anything else
+     * @throws InvalidPlanException if the value is invalid
      */
     long optionalLong(String key, long min, long max, long defaultValue)
             throws InvalidPlanException {
@@ -115,9 +115,9 @@
     }
 
     /**
-     * A number within bounds, or the default where it is missing.
+     * Returns a number within inclusive bounds, or the default if the key is missing.
      *
-     * @throws InvalidPlanException if it is anything else
+     * @throws InvalidPlanException if the value is invalid
      */
     double optionalDouble(String key, double min, double max, double defaultValue)
             throws InvalidPlanException {
--- a/src/main/java/loadbalancer/rollout/plan/PlannedChange.java
+++ b/src/main/java/loadbalancer/rollout/plan/PlannedChange.java
@@ -1,17 +1,17 @@
 package loadbalancer.rollout.plan;
 
 /**
- * What a plan puts in place of what runs.
+ * The change that a plan makes.
  *
- * @param name of the folder or file, below the operators' folder for such; it is no path
- * @param digest SHA-256 in 64 lower-case hexadecimal digits, as {@link Digests} computes it
+ * @param name name, not path, of the folder or file within the operators' folder for its kind
+ * @param digest SHA-256 computed by {@link Digests}, 64 lower-case hexadecimal digits
  */
 public record PlannedChange(Kind kind, String name, String digest) {
-    /** What can change. */
+    /** The kind of a change. */
     public enum Kind {
-        /** The folder of a program. */
+        /** Replaces the program by another folder. */
         PROGRAM,
-        /** The operator's file alone. */
+        /** Replaces only the operator's file. */
         OPERATOR_FILE
     }
 }
--- a/src/main/java/loadbalancer/rollout/plan/RolloutOrder.java
+++ b/src/main/java/loadbalancer/rollout/plan/RolloutOrder.java
@@ -10,9 +10,10 @@
 import java.util.TreeMap;
 
 /**
- * The order in which balancers change. It follows from names, zones and the plan's id alone, so it
- * is the same at all members. Names are shuffled by a hash within their zone, and zones are spread
- * evenly: each prefix of the order holds the proportional number of each zone, to within one.
+ * Determines the order in which balancers change. The order depends only on names, zones and the
+ * plan's id, so it is the same at all members. Names are shuffled by a hash within their zone, and
+ * zones are interleaved: each prefix of the order has a proportional number of balancers of each
+ * zone, to within one.
  *
  * <p>Immutable.
  */
@@ -29,7 +30,7 @@
         }
     }
 
-    /** The order of a plan. */
+    /** Returns the order of a plan. */
     public static RolloutOrder of(Plan plan) {
         return of(plan.id(), plan.zoneByMember(), plan.stageFractions());
     }
@@ -62,17 +63,17 @@
         return Hashing.xxh3_64().hashCharsToLong(planId + '\n' + member);
     }
 
-    /** All members, the first to change first. */
+    /** Returns all members in the order in which they change. */
     public List<String> members() {
         return members;
     }
 
-    /** A member's position from 0; behind all others for one that the plan does not name. */
+    /** Returns a member's position from 0, or {@link Integer#MAX_VALUE} if not in the plan. */
     public int position(String member) {
         return positions.getOrDefault(member, Integer.MAX_VALUE);
     }
 
-    /** How many may run the new program in a stage; none in stage 0. */
+    /** Returns how many members may run the new program in a stage; 0 in stage 0. */
     public int targetCount(int stage) {
         return stage == 0
                 ? 0
@@ -81,7 +82,7 @@
                         members.size());
     }
 
-    /** The fraction of the members, rounded down; exact, as the decimal fraction was written. */
+    /** Returns the fraction of the members, rounded down, in exact decimal arithmetic. */
     static int targetCount(double fraction, int members) {
         return BigDecimal.valueOf(fraction).multiply(BigDecimal.valueOf(members)).intValue();
     }
--- a/src/main/java/loadbalancer/rollout/stage/ChangeAdmission.java
+++ b/src/main/java/loadbalancer/rollout/stage/ChangeAdmission.java
@@ -7,10 +7,10 @@
 import loadbalancer.rollout.plan.RolloutOrder;
 
 /**
- * Which members may change now. Members change in the plan's order. One that is down keeps its
- * position, and uses up one of the few that may be unavailable at one time.
+ * Decides which members may change now. Members change in the plan's order. A member that is down
+ * keeps its position and counts towards the maximum number of unavailable members.
  *
- * <p>Stateless but for the plan; called from the fleet's thread.
+ * <p>Has no mutable state; called from the fleet's thread.
  */
 final class ChangeAdmission {
     private final Plan plan;
@@ -23,7 +23,7 @@
         this.shared = shared;
     }
 
-    /** Whether this member may request to start its change in a stage. */
+    /** Returns whether this member may request to start its change in a stage. */
     boolean mayRequest(RolloutVotes votes, int stage) {
         int position = order.position(shared.self());
         return position < order.targetCount(stage)
@@ -52,7 +52,7 @@
         return serving >= plan.minServing();
     }
 
-    /** The requests that this member grants, by member, given the stages that have passed. */
+    /** Returns the requests that this member grants, by member, after some stages have passed. */
     Map<String, Long> grants(RolloutVotes votes, int passedStages) {
         Map<String, Long> grants = new TreeMap<>();
         int maxGrants =
--- a/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
+++ b/src/main/java/loadbalancer/rollout/stage/HaltFlags.java
@@ -7,8 +7,8 @@
 import loadbalancer.fleet.replication.SharedState;
 
 /**
- * The flag that halts a plan: once raised it stays, and no vote, later statement or higher number
- * clears it. Stateless; called from the fleet's thread.
+ * Raises and reads the flag that halts a plan. The flag is permanent: no vote, later statement or
+ * higher number clears it. Stateless; called from the fleet's thread.
  */
 final class HaltFlags {
     private HaltFlags() {}
@@ -17,7 +17,7 @@
         return !shared.flags(RolloutTopics.halt(planKey)).isEmpty();
     }
 
-    /** Raises the flag; a long reason is cut off. */
+    /** Raises the flag, truncating a long reason. */
     static void raise(SharedState shared, long nowMicros, String planKey, String reason) {
         byte[] bytes = reason.getBytes(StandardCharsets.UTF_8);
         shared.raiseFlag(
@@ -26,7 +26,7 @@
                 Arrays.copyOf(bytes, Math.min(bytes.length, SharedState.MAX_REASON_BYTES)));
     }
 
-    /** Who halted and why, safe for a log line whatever was received; empty if nobody did. */
+    /** Returns the halting member and its reason, sanitized for logs; empty if not halted. */
     static String reason(SharedState shared, String planKey) {
         return shared.flags(RolloutTopics.halt(planKey)).entrySet().stream()
                 .min(Map.Entry.comparingByKey())
--- a/src/main/java/loadbalancer/rollout/stage/LocalChange.java
+++ b/src/main/java/loadbalancer/rollout/stage/LocalChange.java
@@ -3,8 +3,8 @@
 import loadbalancer.rollout.stage.RolloutStatement.Phase;
 
 /**
- * What this balancer runs and what it hands over to, by the keys of plans; an empty key stands for
- * what ran before any plan. Not thread-safe.
+ * Tracks the plan whose change this balancer runs and the plan that it is handing over to. An empty
+ * plan key means the program from before any plan. Not thread-safe.
  */
 final class LocalChange {
     private String runningKey;
@@ -16,24 +16,24 @@
         this.runningKey = runningKey;
     }
 
-    /** A hand-over to a plan's change begins. */
+    /** Records that a hand-over to a plan's change begins. */
     void start(String planKey) {
         startingKey = planKey;
     }
 
-    /** A hand-over to what ran before begins. */
+    /** Records that a hand-over to the previous program begins. */
     void rollBack() {
         isRollingBack = true;
     }
 
-    /** The hand-over is done. */
+    /** Records that the hand-over is complete. */
     void onRunning(String planKey) {
         runningKey = planKey;
         startingKey = "";
         isRollingBack = false;
     }
 
-    /** The plan's change failed and does not run. */
+    /** Records that a plan's change has failed and does not run. */
     void onFailed(String planKey) {
         startingKey = startingKey.equals(planKey) ? "" : startingKey;
         runningKey = runningKey.equals(planKey) ? "" : runningKey;
@@ -63,12 +63,12 @@
         return runningKey.equals(planKey);
     }
 
-    /** The plan that would be rolled back; empty for none. */
+    /** Returns the key of the plan that a rollback would undo; empty if there is none. */
     String activeKey() {
         return startingKey.isEmpty() ? runningKey : startingKey;
     }
 
-    /** What the balancer runs with respect to a plan. */
+    /** Returns the phase of this balancer in a plan. */
     Phase phase(String planKey) {
         if (isStarting() || isRollingBack) {
             return Phase.CHANGING;
--- a/src/main/java/loadbalancer/rollout/stage/Measurement.java
+++ b/src/main/java/loadbalancer/rollout/stage/Measurement.java
@@ -4,9 +4,9 @@
 import loadbalancer.rollout.plan.Plan;
 
 /**
- * For which plan counters are published, and under which cohort.
+ * The plan for which counters are published, and their cohort.
  *
- * @param cohortBits {@link WindowCounters#BASELINE}, {@link WindowCounters#CANARY}, or both while
- *     the balancer is handing over
+ * @param cohortBits {@link WindowCounters#BASELINE}, {@link WindowCounters#CANARY}, or both during
+ *     a hand-over
  */
 public record Measurement(Plan plan, long cohortBits) {}
--- a/src/main/java/loadbalancer/rollout/stage/PlanConflict.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanConflict.java
@@ -4,9 +4,9 @@
 import loadbalancer.rollout.plan.Plan;
 
 /**
- * Halts all open plans but the current one once they have been seen for a while, so that they don't
- * start by themselves later. Called from the fleet's thread; times are microseconds of the
- * monotonic clock.
+ * Halts all open plans except the current one after a settling time, so that they do not start
+ * automatically later. Called from the fleet's thread; times are microseconds of the monotonic
+ * clock.
  */
 final class PlanConflict {
     private static final long SETTLING_MICROS = 10_000_000;
@@ -18,12 +18,12 @@
         this.shared = shared;
     }
 
-    /** No other plan is open. */
+    /** Resets the settling time, since no other plan is open. */
     void clear() {
         sinceMicros = Long.MAX_VALUE;
     }
 
-    /** Other plans are open beside the current one. */
+    /** Halts the other open plans if the settling time is over. */
     void resolve(long nowMicros, Plan current, Iterable<Plan> others) {
         sinceMicros = Math.min(sinceMicros, nowMicros);
         if (nowMicros - sinceMicros < SETTLING_MICROS) {
@@ -34,7 +34,7 @@
                     shared,
                     nowMicros,
                     other.key(),
-                    current.title() + " was in progress; submit this one again after it");
+                    current.title() + " was in progress; submit this plan again after it ends");
         }
     }
 }
--- a/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanProgress.java
@@ -12,14 +12,13 @@
 import loadbalancer.rollout.stage.RolloutStatement.Phase;
 
 /**
- * One plan at one member while it is in progress: the open stage, this member's verdict on it, and
- * its statement to the fleet. Called from the fleet's thread; times are microseconds of the
- * monotonic clock.
+ * Tracks the current plan at this member: the open stage, this member's verdict on it and its
+ * statement to the fleet. Called from the fleet's thread; times are microseconds of the monotonic
+ * clock.
  */
 final class PlanProgress {
     /**
-     * So long after the first stage has opened, the analysis may still finish the baseline of this
-     * member.
+     * How long after the first stage opens the analysis may still complete this member's baseline.
      */
     private static final long BASELINE_GRACE_MICROS = 30_000_000;
 
@@ -59,8 +58,8 @@
     /**
      * Reads the fleet's statements and analyzes the settled windows.
      *
-     * @param elapsedMicros for which this member has run since the last call
-     * @param window number of the present one
+     * @param elapsedMicros time for which this member has run since the last call
+     * @param window number of the present window
      */
     void update(long nowMicros, long elapsedMicros, long window) {
         votes.refresh(nowMicros);
@@ -106,13 +105,13 @@
                 >= shared.majority();
     }
 
-    /** One machine with another digest blocks the rollout everywhere. */
+    /** A different digest on a single machine blocks the rollout on all machines. */
     private boolean allDigestsMatch() {
         return votes.count(statement -> statement.digestCheck() == DigestCheck.DIFFERS) == 0
                 && digestCheck == DigestCheck.MATCHES;
     }
 
-    /** Why the plan must be halted; empty as long as it need not. */
+    /** Returns why the plan must be halted, or empty if it need not be. */
     Optional<String> haltReason() {
         if (isComplete()) {
             return Optional.empty();
@@ -127,7 +126,7 @@
 
     private String blockedBy() {
         if (digestCheck != DigestCheck.MATCHES) {
-            return "the digest does not match here";
+            return "the digest does not match at this member";
         }
         return allDigestsMatch() ? verdict.reason() : "the digest does not match at another member";
     }
@@ -136,17 +135,17 @@
         return plan.exposure().maxSeconds() * MICROS_PER_SECOND;
     }
 
-    /** Whether the last stage has passed by the verdict of a majority. */
+    /** Returns whether the last stage has passed by the verdict of a majority. */
     boolean isComplete() {
         return openStage > plan.stageCount();
     }
 
-    /** Whether it has been without a majority for longer than a stage may last. */
+    /** Returns whether this member has had no majority for longer than a stage may last. */
     boolean isCutOff() {
         return !isComplete() && withoutMajorityMicros > stageLimitMicros();
     }
 
-    /** Whether this member may start its change now; requests it when admitted. */
+    /** Returns whether this member may start its change now, and requests it when admitted. */
     boolean mayStart(long nowMicros, boolean isReady) {
         int stage = Math.min(openStage, plan.stageCount());
         if (!isReady || digestCheck != DigestCheck.MATCHES || !admission.mayRequest(votes, stage)) {
@@ -156,7 +155,7 @@
         return votes.isGranted(shared.self(), request.refresh(nowMicros), stage);
     }
 
-    /** The process was stopped for a while: earlier grants may no longer hold. */
+    /** Withdraws the request after the process was suspended, since its grants may be outdated. */
     void onResumed() {
         request.withdraw();
     }
@@ -169,7 +168,7 @@
         return digestCheck;
     }
 
-    /** Publishes this member's statement if it has changed; grants nothing while quiet. */
+    /** Publishes this member's statement if it has changed, without grants while quiet. */
     void publish(long nowMicros, Phase phase, boolean isServing, boolean isQuiet) {
         Map<String, Long> grants = isQuiet ? Map.of() : admission.grants(votes, passedStages);
         RolloutStatement next =
@@ -186,7 +185,7 @@
         }
     }
 
-    /** For operators. */
+    /** Returns the status for operators. */
     String status() {
         return isComplete()
                 ? "done"
@@ -200,7 +199,7 @@
                         + verdict.reason();
     }
 
-    /** The open stage; one more than the plan has once the rollout is complete. */
+    /** Returns the open stage, or the stage count plus one if the rollout is complete. */
     int openStage() {
         return openStage;
     }
--- a/src/main/java/loadbalancer/rollout/stage/PlanSelector.java
+++ b/src/main/java/loadbalancer/rollout/stage/PlanSelector.java
@@ -17,12 +17,12 @@
 import loadbalancer.rollout.plan.PlanFile;
 
 /**
- * Which plan is current. Each member replicates one plan at most; the lowest one that is neither
- * halted nor complete is current. Called from the fleet's thread; times are microseconds of the
+ * Selects the current plan, which is the lowest plan that is neither halted nor complete. Each
+ * member replicates at most one plan. Called from the fleet's thread; times are microseconds of the
  * monotonic clock.
  */
 final class PlanSelector {
-    /** Members that replicate the text of a plan, so that it outlives any one of them. */
+    /** Number of members that replicate a plan, so that it survives the loss of any one. */
     private static final int REPLICAS = 3;
 
     private final SharedState shared;
@@ -31,12 +31,12 @@
     private final ReceivedPlans received;
     private final Map<String, RolloutVotes> votesByPlan = new HashMap<>();
 
-    /** Keys of known plans that were logged as halted. */
+    /** Keys of the plans whose halt has been logged. */
     private final Set<String> loggedHalts = new HashSet<>();
 
     private final Set<Plan> open = new TreeSet<>();
 
-    /** Null if no plan is in progress or complete. */
+    /** The current plan; null if no plan is in progress or complete. */
     private Plan current;
 
     private long lastCompletedNumber;
@@ -54,29 +54,32 @@
     }
 
     /**
-     * Takes a plan from an operator.
+     * Publishes a plan submitted by an operator.
      *
-     * @throws InvalidPlanException if it can't be used, or not now
+     * @throws InvalidPlanException if the plan is invalid or conflicts with another plan
      */
     void submit(long nowMicros, String text) throws InvalidPlanException {
         Plan plan = PlanFile.parse(text);
         if (!plan.zoneByMember().keySet().equals(shared.roster())) {
-            throw new InvalidPlanException("zones", "names another fleet than the operator's file");
+            throw new InvalidPlanException(
+                    "zones", "the members differ from those in the operator's file");
         }
         if (current != null && !current.equals(plan) && current.number() > lastCompletedNumber) {
             throw new InvalidPlanException("plan", current.title() + " is in progress");
         }
         if (plan.number() <= lastCompletedNumber) {
             throw new InvalidPlanException(
-                    "number", "expected more than that of the last one, " + lastCompletedNumber);
+                    "number",
+                    "expected more than that of the last complete plan, " + lastCompletedNumber);
         }
         if (HaltFlags.isRaised(shared, plan.key())) {
-            throw new InvalidPlanException("plan", "was halted; submit it with a higher number");
+            throw new InvalidPlanException(
+                    "plan", "was halted; submit the plan again with a higher number");
         }
         shared.publish(nowMicros, RolloutTopics.PLAN, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Reads the replicated plans; returns the current one. */
+    /** Reads the replicated plans and returns the current one. */
     Optional<Plan> select(long nowMicros) {
         Map<String, Document> replicated = shared.documents(nowMicros, RolloutTopics.PLAN);
         findOpenPlans(replicated);
@@ -86,7 +89,7 @@
                         .reduce((first, second) -> second);
         lastCompletedNumber = Math.max(lastCompletedNumber, complete.map(Plan::number).orElse(0L));
         open.removeIf(plan -> plan.number() <= lastCompletedNumber);
-        // If none is in progress, members that were down still follow the last complete one.
+        // If no plan is in progress, members that were down still follow the last complete plan.
         current = open.stream().findFirst().or(() -> complete).orElse(null);
         if (current != null) {
             replicate(nowMicros, replicated);
@@ -113,7 +116,8 @@
     private boolean isHalted(Plan plan) {
         boolean isHalted = HaltFlags.isRaised(shared, plan.key());
         if (isHalted && loggedHalts.add(plan.key())) {
-            log.accept(plan.title() + " is halted by " + HaltFlags.reason(shared, plan.key()));
+            log.accept(
+                    plan.title() + " is halted by member " + HaltFlags.reason(shared, plan.key()));
         }
         return isHalted;
     }
@@ -124,22 +128,22 @@
         return votes.refresh(nowMicros).openStage(plan.stageCount()) > plan.stageCount();
     }
 
-    /** Plans that are neither halted nor complete nor current. */
+    /** Returns the plans that are neither halted nor complete nor current. */
     Iterable<Plan> others() {
         return open.stream().filter(plan -> !plan.equals(current)).toList();
     }
 
-    /** Number of the last complete plan, 0 for none. */
+    /** Returns the number of the last complete plan, or 0 if there is none. */
     long lastCompletedNumber() {
         return lastCompletedNumber;
     }
 
-    /** Has the current plan replicated by a few members. */
+    /** Replicates the current plan if this member should. */
     private void replicate(long nowMicros, Map<String, Document> replicated) {
         byte[] text = bytes(current);
         Document own = replicated.get(shared.self());
         if (own != null && (Arrays.equals(own.body(), text) || isOpen(own.body()))) {
-            return; // an open plan that is not current must first be halted, which others must see
+            return; // this other open plan stays published until all members know that it is halted
         }
         long replicas =
                 replicated.values().stream()
@@ -148,7 +152,7 @@
                                         shared.isPresent(document.member())
                                                 && Arrays.equals(document.body(), text))
                         .count();
-        // A member that replicates an old plan takes this one; others volunteer at random.
+        // A member that replicates an old plan replaces it; other members volunteer at random.
         if (own != null
                 || replicas < REPLICAS && random.nextInt(shared.roster().size()) < REPLICAS) {
             shared.publish(nowMicros, RolloutTopics.PLAN, text);
--- a/src/main/java/loadbalancer/rollout/stage/ReceivedPlans.java
+++ b/src/main/java/loadbalancer/rollout/stage/ReceivedPlans.java
@@ -11,10 +11,10 @@
 import loadbalancer.rollout.plan.PlanFile;
 
 /**
- * Plans received from the fleet, parsed once each; an invalid one is logged once. Not thread-safe.
+ * Parses the plans received from the fleet once each and logs invalid ones once. Not thread-safe.
  */
 final class ReceivedPlans {
-    /** Texts that are cached, valid or not: a stream of plans must not use unbounded memory. */
+    /** Maximum number of cached texts, valid or not, which bounds the memory for received plans. */
     private static final int MAX_CACHED = 16;
 
     private final SharedState shared;
@@ -34,7 +34,7 @@
         this.log = log;
     }
 
-    /** The plan of a replicated text; empty if it is invalid or for another fleet. */
+    /** Parses a replicated text; empty if the plan is invalid or for another fleet. */
     Optional<Plan> parse(byte[] body) {
         if (body.length > PlanFile.MAX_BYTES) {
             return Optional.empty();
@@ -55,11 +55,11 @@
                 return Optional.of(plan);
             }
             log.accept(
-                    "ignores "
+                    "ignoring "
                             + plan.title()
-                            + ": it names another fleet than the operator's file");
+                            + ": its members differ from those in the operator's file");
         } catch (InvalidPlanException e) {
-            log.accept("ignores a plan: " + e.getMessage());
+            log.accept("ignoring an invalid plan: " + e.getMessage());
         }
         return Optional.empty();
     }
--- a/src/main/java/loadbalancer/rollout/stage/RolloutAction.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutAction.java
@@ -2,17 +2,17 @@
 
 import loadbalancer.rollout.plan.Plan;
 
-/** What a member has to do on its machine. Immutable. */
+/** An action that a member must execute on its machine. Immutable. */
 public sealed interface RolloutAction {
     /**
-     * Compute the digest of what the plan names, and report it by {@link
+     * Computes the digest of the program or file in the plan. The result is reported to {@link
      * RolloutController#onDigestComputed}.
      */
     record VerifyDigest(Plan plan) implements RolloutAction {}
 
-    /** Hand over to what the plan names, if its digest still matches. */
+    /** Hands over to the program or file of the plan if its digest still matches. */
     record StartChange(Plan plan) implements RolloutAction {}
 
-    /** Hand over to what ran before the plan of that key, or cancel a hand-over to it. */
+    /** Hands over to the program from before the plan, or cancels a hand-over to the plan. */
     record RollBack(String planKey, String reason) implements RolloutAction {}
 }
--- a/src/main/java/loadbalancer/rollout/stage/RolloutController.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutController.java
@@ -14,23 +14,23 @@
 import loadbalancer.rollout.stage.RolloutStatement.DigestCheck;
 
 /**
- * Staged rollout at one member: the fleet's statements and what its own balancer does in, actions
- * out. Each step checks for a halt before anything is started.
+ * Controls staged rollouts at one member. It turns the fleet's statements and the state of its own
+ * balancer into actions. Each step checks for a halt before it starts a change.
  *
  * <p>Not thread-safe: all calls come from the fleet's thread. Times are microseconds of a monotonic
- * clock that advances while the process is stopped; windows are numbered by the wall clock.
+ * clock that advances while the process is suspended; windows are numbered by the wall clock.
  */
 public final class RolloutController {
-    /** After its start, or after it was stopped, a member only listens for so long. */
+    /** How long a member makes no decisions after its start or after it was suspended. */
     static final long QUIET_MICROS = 10_000_000;
 
-    /** Steps come about every second; a longer pause than this means that it was stopped. */
+    /** Steps occur about once a second; a longer pause means that the process was suspended. */
     static final long MAX_STEP_MICROS = 5_000_000;
 
-    /** Roll-backs of the fleet are spread over so long, since a start takes processor time. */
+    /** The fleet's rollbacks are spread over this time, as starting takes processor time. */
     private static final long MAX_ROLLBACK_DELAY_MICROS = 10_000_000;
 
-    /** How often a digest that did not match is computed again. */
+    /** Interval at which a digest that does not match is computed again. */
     private static final long DIGEST_CHECK_INTERVAL_MICROS = 30_000_000;
 
     private final SharedState shared;
@@ -41,7 +41,7 @@
     private final LocalChange local;
     private final List<RolloutAction> actions = new ArrayList<>();
 
-    /** Null while there is no current plan. */
+    /** Progress of the current plan; null if there is none. */
     private PlanProgress progress;
 
     private long quietUntilMicros = Long.MIN_VALUE;
@@ -50,11 +50,11 @@
     private long nextDigestCheckMicros;
 
     /**
-     * Starts from what was saved by the last process.
+     * Creates a controller from the state saved by the last process.
      *
-     * @param runningKey key of the plan whose change this balancer runs, empty for none
-     * @param lastCompletedNumber number of the last complete plan, 0 for none
-     * @param log takes lines for operators
+     * @param runningKey key of the plan whose change this balancer runs; empty if none
+     * @param lastCompletedNumber number of the last complete plan; 0 if none
+     * @param log receives log lines for operators
      */
     public RolloutController(
             SharedState shared,
@@ -71,10 +71,10 @@
     }
 
     /**
-     * Takes a plan from an operator.
+     * Publishes a plan submitted by an operator.
      *
-     * @param zoneByMember those of the roster, for a plan that names none
-     * @throws InvalidPlanException if it can't be used, or not now
+     * @param zoneByMember zones of the roster, used if the plan has none
+     * @throws InvalidPlanException if the plan is invalid or conflicts with another plan
      */
     public void submit(long nowMicros, String text, Map<String, String> zoneByMember)
             throws InvalidPlanException {
@@ -82,10 +82,10 @@
     }
 
     /**
-     * Does what is due; to be called about once a second.
+     * Advances the rollout; to be called about once a second.
      *
      * @param window number of the present window by the wall clock
-     * @return what has to be done on this machine, in order
+     * @return the actions to execute on this machine, in order
      */
     public List<RolloutAction> step(long nowMicros, long window) {
         actions.clear();
@@ -103,7 +103,7 @@
         return List.copyOf(actions);
     }
 
-    /** Returns for how long the process has run since the last step. */
+    /** Returns the time for which the process has run since the last step. */
     private long advance(long nowMicros) {
         boolean isFirst = lastStepMicros == Long.MIN_VALUE;
         if (isFirst || nowMicros - lastStepMicros > MAX_STEP_MICROS) {
@@ -125,7 +125,7 @@
         if (progress == null && plan.isPresent() && !isQuiet) {
             progress = new PlanProgress(plan.get(), shared, random, nowMicros);
             nextDigestCheckMicros = nowMicros;
-            log.accept("follows " + plan.get().title());
+            log.accept("following " + plan.get().title());
         }
         if (progress == null || isQuiet || !plans.others().iterator().hasNext()) {
             conflict.clear();
@@ -167,7 +167,7 @@
             String reason =
                     isHalted
                             ? HaltFlags.reason(shared, key)
-                            : "cut off from the fleet for longer than a stage may last";
+                            : "no majority of the fleet reachable for longer than a stage may last";
             actions.add(new RolloutAction.RollBack(key, reason));
         }
     }
@@ -193,9 +193,9 @@
     }
 
     /**
-     * Reports the digest of what a plan names as it is on this machine.
+     * Reports the digest of the plan's program or file on this machine.
      *
-     * @param digest empty if it can't be read
+     * @param digest the digest; empty if the files cannot be read
      */
     public void onDigestComputed(String planKey, String digest) {
         if (progress == null || !progress.plan().key().equals(planKey)) {
@@ -208,40 +208,40 @@
                     plan.title()
                             + ": the digest of "
                             + plan.change().name()
-                            + " does not match here; nothing starts");
+                            + " does not match at this member; the rollout does not start");
         }
         progress.setDigestCheck(matches ? DigestCheck.MATCHES : DigestCheck.DIFFERS);
     }
 
     /**
-     * Reports that the balancer runs a plan's change now.
+     * Reports that the balancer now runs a plan's change.
      *
-     * @param planKey empty for what ran before any plan
+     * @param planKey key of the plan; empty for the program from before any plan
      */
     public void onRunning(String planKey) {
         local.onRunning(planKey);
     }
 
-    /** Reports whether the balancer serves. */
+    /** Reports whether the balancer serves requests. */
     public void setServing(boolean serves) {
         local.setServing(serves);
     }
 
     /**
-     * Reports that the change of a plan could not be brought to serve, or not for long, and that
-     * this balancer runs what ran before. The plan is halted, unless it is complete: one machine's
-     * fault does not undo that.
+     * Reports that the change of a plan did not start serving or stopped soon after, and that this
+     * balancer runs the previous program again. The plan is halted unless it is complete, since the
+     * failure of one machine does not undo a complete rollout.
      */
     public void onChangeFailed(long nowMicros, String planKey, String reason) {
         local.onFailed(planKey);
         if (progress == null || !progress.plan().key().equals(planKey) || progress.isComplete()) {
-            log.accept("rolled back a change on this machine alone: " + reason);
+            log.accept("rolled back the change on this machine only: " + reason);
             return;
         }
         HaltFlags.raise(shared, nowMicros, planKey, shared.self() + " " + reason);
     }
 
-    /** What to publish counters for; empty while no plan is in progress. */
+    /** Returns the plan and cohort to publish counters for; empty if no plan is in progress. */
     public Optional<Measurement> measurement() {
         if (progress == null || progress.isComplete()) {
             return Optional.empty();
@@ -255,17 +255,17 @@
         return Optional.of(new Measurement(progress.plan(), cohortBits));
     }
 
-    /** Number of the last complete plan, to be saved for the next process. */
+    /** Returns the number of the last complete plan, to be saved for the next process. */
     public long lastCompletedNumber() {
         return plans.lastCompletedNumber();
     }
 
-    /** One line for operators. */
+    /** Returns the status for operators, in one line. */
     public String status() {
         return progress == null ? "no plan" : progress.plan().title() + ": " + progress.status();
     }
 
-    /** The open stage, the last one if the rollout is complete; 0 while no plan is current. */
+    /** Returns the open stage, or the last one if the rollout is complete; 0 without a plan. */
     public int openStage() {
         return progress == null ? 0 : Math.min(progress.openStage(), progress.plan().stageCount());
     }
--- a/src/main/java/loadbalancer/rollout/stage/RolloutStatement.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutStatement.java
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 
 /**
- * What a member states of itself on one plan, replicated as CBOR. Immutable.
+ * The statement of a member about itself and one plan, replicated as CBOR. Immutable.
  *
- * @param passedStages stages that have passed by this member's verdict, stage 0 among them
- * @param isServing whether its balancer serves
- * @param digestCheck whether the files on its machine have the plan's digest
- * @param requestId its request to start its change, a random number for each; 0 for none
- * @param grants requests that this member grants, by member
+ * @param passedStages number of stages passed by this member's verdict, including stage 0
+ * @param isServing whether its balancer serves requests
+ * @param digestCheck result of comparing the files on its machine with the plan's digest
+ * @param requestId random id of its request to start its change; 0 if there is no request
+ * @param grants ids of the requests that this member grants, by requesting member
  */
 record RolloutStatement(
         int passedStages,
@@ -26,30 +26,30 @@
         DigestCheck digestCheck,
         long requestId,
         Map<String, Long> grants) {
-    /** What the balancer runs; replicated by ordinal. */
+    /** The program that the balancer runs; replicated by ordinal. */
     enum Phase {
-        /** What ran before the plan. */
+        /** The program or file from before the plan. */
         BASELINE,
-        /** It is handing over, to either. */
+        /** A hand-over in either direction. */
         CHANGING,
         /** The plan's program or operator's file. */
         CANARY
     }
 
-    /** Whether the digest of what the plan names matches; replicated by ordinal. */
+    /** Whether the digest of the plan's program or file matches; replicated by ordinal. */
     enum DigestCheck {
         UNKNOWN,
         MATCHES,
         DIFFERS
     }
 
-    /** More than any fleet lets change at one time; bounds what is read. */
+    /** Bounds the number of decoded grants; exceeds the concurrent changes of any fleet. */
     static final int MAX_GRANTS = 32;
 
     private static final int MAX_BYTES = 4 * 1024;
     private static final ObjectMapper CBOR = new CBORMapper();
 
-    /** Field names in CBOR. */
+    /** CBOR field names. */
     private static final class FieldNames {
         static final String PASSED_STAGES = "passed";
         static final String PHASE = "phase";
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Another member's statement; empty if it is not understood. Unknown fields are ignored. */
+    /** Decodes another member's statement; empty if invalid. Unknown fields are ignored. */
     static Optional<RolloutStatement> decode(byte[] body) {
         if (body.length > MAX_BYTES) {
             return Optional.empty();
--- a/src/main/java/loadbalancer/rollout/stage/RolloutTopics.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutTopics.java
@@ -1,8 +1,8 @@
 package loadbalancer.rollout.stage;
 
-/** Topics under which the fleet replicates a rollout; other versions have the same. */
+/** Topics under which the fleet replicates a rollout; all versions use the same names. */
 final class RolloutTopics {
-    /** Documents: texts of plans. */
+    /** Topic of the documents with the texts of plans. */
     static final String PLAN = "rollout/plan";
 
     private static final String STATEMENT_PREFIX = "rollout/state/";
@@ -10,12 +10,12 @@
 
     private RolloutTopics() {}
 
-    /** Documents: each member's {@link RolloutStatement} on a plan. */
+    /** Returns the topic of each member's {@link RolloutStatement} on a plan. */
     static String statements(String planKey) {
         return STATEMENT_PREFIX + planKey;
     }
 
-    /** The flag that halts a plan. */
+    /** Returns the topic of the flag that halts a plan. */
     static String halt(String planKey) {
         return HALT_PREFIX + planKey;
     }
--- a/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
+++ b/src/main/java/loadbalancer/rollout/stage/RolloutVotes.java
@@ -10,11 +10,11 @@
 import loadbalancer.rollout.stage.RolloutStatement.Phase;
 
 /**
- * The statements of the fleet on one plan, and the votes in them: one for each member of the roster
- * that may vote. Called from the fleet's thread; times are microseconds of the monotonic clock.
+ * Reads the fleet's statements on one plan and counts their votes, one per eligible voter of the
+ * roster. Called from the fleet's thread; times are microseconds of the monotonic clock.
  */
 final class RolloutVotes {
-    /** A decoded document, empty if not understood; most are the same at the next refresh. */
+    /** A cached decoding result, empty if invalid; most documents do not change. */
     private record Decoded(byte[] body, Optional<RolloutStatement> statement) {}
 
     private final SharedState shared;
@@ -33,7 +33,7 @@
         statements.clear();
         Map<String, Document> documents =
                 shared.documents(nowMicros, RolloutTopics.statements(planKey));
-        // By the name that a document is filed under: a member has one vote.
+        // The key is the publishing member, so that each member has one vote.
         for (var entry : documents.entrySet()) {
             String member = entry.getKey();
             if (shared.roster().contains(member) && shared.isEligibleVoter(member)) {
@@ -53,7 +53,7 @@
                 : new Decoded(document.body(), RolloutStatement.decode(document.body()));
     }
 
-    /** A member's statement. */
+    /** Returns a member's statement. */
     Optional<RolloutStatement> of(String member) {
         return Optional.ofNullable(statements.get(member));
     }
@@ -67,8 +67,8 @@
     }
 
     /**
-     * The open stage: by the verdict of a majority, each stage before it has passed. One more than
-     * {@code stageCount} once the rollout is complete.
+     * Returns the open stage, before which all stages have passed by the verdict of a majority. The
+     * result is {@code stageCount} plus one if the rollout is complete.
      */
     int openStage(int stageCount) {
         int stage = 0;
@@ -82,7 +82,7 @@
         return statement -> statement.passedStages() > stage;
     }
 
-    /** Whether a majority grants the member's request, each by whose verdict the stage is open. */
+    /** Returns whether a majority grants a request, counting voters for whom the stage is open. */
     boolean isGranted(String member, long requestId, int stage) {
         return requestId != 0
                 && hasMajority(
@@ -92,7 +92,7 @@
                                                 == requestId);
     }
 
-    /** Whether the member is alive and its balancer serves. */
+    /** Returns whether a member is present and its balancer serves. */
     boolean isServing(String member) {
         RolloutStatement statement = statements.get(member);
         return statement != null
@@ -101,7 +101,7 @@
                 && shared.isPresent(member);
     }
 
-    /** Whether the member has changed and serves. */
+    /** Returns whether a member has changed and serves. */
     boolean hasChanged(String member) {
         RolloutStatement statement = statements.get(member);
         return statement != null && statement.isServing() && statement.phase() == Phase.CANARY;
--- a/src/main/java/loadbalancer/rollout/stage/StartRequest.java
+++ b/src/main/java/loadbalancer/rollout/stage/StartRequest.java
@@ -3,12 +3,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This member's request to start its change. It is made after a random delay, and again if a
+ * Requests the start of this member's change after a random delay, and again with a new id if a
  * majority does not grant it in time. Not thread-safe; times are microseconds of the monotonic
  * clock.
  */
 final class StartRequest {
-    /** Spreads the requests of a stage's members. */
+    /** Maximum random delay, which spreads the requests of a stage's members. */
     private static final long MAX_DELAY_MICROS = 5_000_000;
 
     private static final long TIMEOUT_MICROS = 30_000_000;
@@ -21,7 +21,7 @@
         this.random = random;
     }
 
-    /** Makes the request when it is due; returns its id, 0 as long as there is none. */
+    /** Makes the request when it is due; returns its id, or 0 if there is no request. */
     long refresh(long nowMicros) {
         if (dueAtMicros == 0 || requestId != 0 && nowMicros - dueAtMicros > TIMEOUT_MICROS) {
             requestId = 0;
@@ -33,7 +33,7 @@
         return requestId;
     }
 
-    /** What was granted before no longer holds. */
+    /** Withdraws the request, which invalidates earlier grants. */
     void withdraw() {
         requestId = 0;
         dueAtMicros = 0;
--- a/src/main/java/loadbalancer/rollout/stage/package-info.java
+++ b/src/main/java/loadbalancer/rollout/stage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The stages of a rollout: which plan is current, who may change when, what a member votes, and how
- * a halt rolls all back. Events and times in, actions out; no I/O.
+ * Runs the stages of a rollout: selects the current plan, admits members to change, publishes votes
+ * and rolls back all members on a halt. Turns events and times into actions, without I/O.
  */
 package loadbalancer.rollout.stage;
--- a/src/test/java/loadbalancer/rollout/analysis/CohortStatisticsTest.java
+++ b/src/test/java/loadbalancer/rollout/analysis/CohortStatisticsTest.java
@@ -7,7 +7,7 @@
 
 class CohortStatisticsTest {
     @Test
-    void oneOutlierMovesTheTrimmedMeanByLessThanTheSpread() {
+    void outlierShiftsTrimmedMeanByLessThanTheSpread() {
         double[] honest = {1, 2, 3, 4, 5, 6};
         double[] withOutlier = {1, 2, 3, 4, 5, 1e18};
         assertEquals(3.5, CohortStatistics.trimmedMean(honest));
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void medianOfAnEvenNumberIsTheMeanOfTheMiddleTwoAndOfNoneNaN() {
+    void medianAveragesTheMiddleTwoAndIsNanWithoutValues() {
         assertEquals(2.5, CohortStatistics.median(new double[] {4, 1, 2, 3}));
         assertTrue(Double.isNaN(CohortStatistics.median(new double[0])));
     }
--- a/src/test/java/loadbalancer/rollout/analysis/MetricComparisonTest.java
+++ b/src/test/java/loadbalancer/rollout/analysis/MetricComparisonTest.java
@@ -8,7 +8,7 @@
 
 class MetricComparisonTest {
     @Test
-    void regressionNeedsAsManyObservationsAsTheThresholdHasHalvings() {
+    void regressionNeedsMoreObservationsThanLog2OfTheThreshold() {
         MetricComparison comparison = new MetricComparison(Metric.NOT_SERVED_ON_TIME, 0.01);
         int observations = 0;
         while (!comparison.isRegression(Math.log(8_000))) {
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void differenceWithinTheBaselinesErrorIsNeitherARegressionNorNonInferior() {
+    void differenceWithinTheBaselineErrorIsUndecided() {
         MetricComparison comparison = new MetricComparison(Metric.NOT_SERVED_ON_TIME, 0.01);
         for (int i = 0; i < 10_000; i++) {
             comparison.observe(0.012, 0.005 * 0.005);
--- a/src/test/java/loadbalancer/rollout/analysis/WindowCountersTest.java
+++ b/src/test/java/loadbalancer/rollout/analysis/WindowCountersTest.java
@@ -13,7 +13,7 @@
 
 class WindowCountersTest {
     @Test
-    void histogramAndSingleResponseTimesFallIntoTheSameBuckets() {
+    void histogramAndSingleResponseTimesUseTheSameBuckets() {
         Histogram times = new Histogram(3);
         long[] expected = new long[LatencyBuckets.COUNT];
         Random random = new Random(2);
@@ -39,11 +39,11 @@
     }
 
     @Test
-    void countersThatNoMemberCanHaveAreInvalid() {
+    void rejectsImpossibleCounters() {
         assertTrue(WindowCounters.isValid(new long[] {1, 0, 0}, 3));
         assertFalse(WindowCounters.isValid(new long[] {1, 0}, 3));
         assertFalse(WindowCounters.isValid(new long[] {1, -1, 0}, 3));
         assertFalse(WindowCounters.isValid(new long[] {2, Long.MAX_VALUE, 0}, 3));
-        assertFalse(WindowCounters.isValid(new long[] {3, 1, 1}, 3), "both programs served in it");
+        assertFalse(WindowCounters.isValid(new long[] {3, 1, 1}, 3), "both cohort bits are set");
     }
 }
--- a/src/test/java/loadbalancer/rollout/plan/DigestsTest.java
+++ b/src/test/java/loadbalancer/rollout/plan/DigestsTest.java
@@ -14,7 +14,7 @@
     @TempDir Path folder;
 
     @Test
-    void folderDigestIsThatOfItsSortedNamesAndContents() throws Exception {
+    void folderDigestCoversSortedNamesAndContents() throws Exception {
         Files.createDirectories(folder.resolve("p/lib"));
         Files.writeString(folder.resolve("p/yewyoke.jar"), "jar");
         Files.writeString(folder.resolve("p/lib/a.jar"), "a");
--- a/src/test/java/loadbalancer/rollout/plan/PlanFileTest.java
+++ b/src/test/java/loadbalancer/rollout/plan/PlanFileTest.java
@@ -17,14 +17,14 @@
 class PlanFileTest {
     private static final String JUNK = "[]{}\"=.0-\n\0e#";
 
-    /** The example of the operators' page. */
+    /** Returns the example plan of the operators' documentation. */
     private static String example() throws IOException {
         String page = Files.readString(Path.of("docs", "rollout.md"));
         int from = page.indexOf("```toml\n") + 8;
         return page.substring(from, page.indexOf("```", from));
     }
 
-    /** A fleet of so many members in three zones. */
+    /** Returns a fleet with the given number of members in three zones. */
     static Map<String, String> fleet(int members) {
         Map<String, String> zones = new TreeMap<>();
         for (int i = 0; i < members; i++) {
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void exampleOfTheOperatorsPageIsValid() throws Exception {
+    void exampleOfTheDocumentationIsValid() throws Exception {
         Plan plan = PlanFile.parse(PlanFile.withZones(example(), fleet(12)));
         assertEquals("smaller-pool", plan.id());
         assertEquals(PlannedChange.Kind.PROGRAM, plan.change().kind());
@@ -44,7 +44,7 @@
         assertEquals(
                 0.01,
                 plan.classMargins().get("book").get(Metric.SERVED_LATE),
-                "as for all classes");
+                "margin of all classes");
     }
 
     @ParameterizedTest
@@ -58,8 +58,8 @@
                 "\"2.1\" | \"../2.1\" | program: expected 1 to 48 letters",
                 "\"2.1\" | \"2.1\"^operator = \"b\" | program: expected either program or operator",
                 "sha256:0 | sha1:0 | digest: expected sha256:",
-                "[0.1, | [0.4, | stages 2: expected shares of the fleet that rise to 1.0",
-                ", 1.0] | ] | stages: expected 1 to 20 shares of the fleet that rise to 1.0",
+                "[0.1, | [0.4, | stages 2: expected fractions of the fleet that increase to 1.0",
+                ", 1.0] | ] | stages: expected 1 to 20 fractions of the fleet that increase to 1.0",
                 "floor = 0.8 | floor = 0.2 | floor: expected a number from 0.5 to 1",
                 "floor = 0.8 | floor = 0.99 | floor: leaves no balancer to change in a fleet of 12",
                 "[0.1, | [0.05, | stages 1: adds no balancer in a fleet of 12",
@@ -70,7 +70,7 @@
                 "[class.book] | [class.book]^memory = 0.1 | class.book.memory: unknown key",
                 "[class.book] | [class.\"-\"] | class.-: expected at most 8 classes"
             })
-    void invalidPlanIsRejectedWithItsPlace(String original, String replacement, String message)
+    void rejectsInvalidPlanNamingThePlace(String original, String replacement, String message)
             throws Exception {
         String text = example();
         assertTrue(text.contains(original), original);
@@ -85,9 +85,9 @@
         assertEquals(1, rejection.lines().count());
     }
 
-    /** A plan may come from any member: nothing but a rejection may come of it. */
+    /** Any member may send a plan, so invalid text must only lead to a rejection. */
     @Test
-    void anyTextIsAPlanOrRejected() throws Exception {
+    void parsesOrRejectsCorruptedText() throws Exception {
         String text = PlanFile.withZones(example(), fleet(12));
         Random random = new Random(1);
         int rejected = 0;
--- a/src/test/java/loadbalancer/rollout/plan/RolloutOrderTest.java
+++ b/src/test/java/loadbalancer/rollout/plan/RolloutOrderTest.java
@@ -18,7 +18,7 @@
 
 class RolloutOrderTest {
     @Property(tries = 100, seed = "7")
-    void eachPrefixHoldsTheProportionalNumberOfEachZone(
+    void eachPrefixHasAProportionalNumberOfEachZone(
             @ForAll @IntRange(min = 5, max = 100) int members,
             @ForAll @IntRange(min = 1, max = 6) int zones,
             @ForAll int id) {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void orderFollowsFromNamesZonesAndPlanIdAlone() {
+    void orderDependsOnlyOnNamesZonesAndPlanId() {
         Map<String, String> fleet = PlanFileTest.fleet(30);
         Map<String, String> reversed = new LinkedHashMap<>();
         List<String> names = new ArrayList<>(fleet.keySet());
@@ -59,7 +59,7 @@
         assertNotEquals(
                 members,
                 RolloutOrder.of("y", fleet, List.of(1.0)).members(),
-                "not always the same first");
+                "the order depends on the plan id");
     }
 
     @Test
--- a/src/test/java/loadbalancer/rollout/stage/RolloutControllerTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutControllerTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Rollouts in fleets of 5 to 12 members with faults of all kinds; {@link RolloutSimulation} checks
- * the invariants each second.
+ * Simulates rollouts in fleets of 5 to 12 members with faults. {@link RolloutSimulation} checks the
+ * invariants each second.
  */
 class RolloutControllerTest {
     private static RolloutSimulation started(long seed, int members) {
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void changeThatIsNoWorseReachesAll() throws Exception {
+    void changeWithoutRegressionReachesAllMembers() throws Exception {
         RolloutSimulation fleet = started(1, 10);
         Plan plan = fleet.submit("b3", "good", 1);
         fleet.run(1_000);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void regressionOfOneInTwentyIsHaltedInTheFirstStageAndRolledBack() throws Exception {
+    void haltsFivePercentRegressionInFirstStageAndRollsBack() throws Exception {
         RolloutSimulation fleet = started(2, 10);
         fleet.newServedRatio = 0.92;
         Plan plan = fleet.submit("b3", "bad", 1);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void successorThatCrashesAtItsStartHaltsTheRollout() throws Exception {
+    void haltsWhenNewProgramCrashesOnStart() throws Exception {
         RolloutSimulation fleet = started(3, 6);
         fleet.machines.values().forEach(machine -> machine.crashesOnStart = true);
         Plan plan = fleet.submit("b3", "broken", 1);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void missingCanaryMetricsMeanWaitAndThenHalt() throws Exception {
+    void waitsForMissingCanaryMetricsThenHalts() throws Exception {
         RolloutSimulation fleet = started(4, 10);
         Plan plan = fleet.submit("b3", "silent", 1);
         for (int i = 0; i < 500; i++) {
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void digestThatDiffersOnOneMachineStartsNothingAnywhere() throws Exception {
+    void digestMismatchOnOneMachineBlocksAllMachines() throws Exception {
         RolloutSimulation fleet = started(5, 6);
         fleet.machines.get("b5").digest = "";
         Plan plan = fleet.submit("b3", "other", 1);
@@ -89,11 +89,11 @@
                         .max()
                         .orElse(9));
         fleet.run(60);
-        assertTrue(fleet.isHalted(plan), "waits and then halts");
+        assertTrue(fleet.isHalted(plan), "halted after the time limit of the stage");
     }
 
     @Test
-    void memberThatWasCutOffOrDownRollsBackWhenItLearnsOfTheHalt() throws Exception {
+    void partitionedOrStoppedMemberRollsBackAfterReceivingTheHalt() throws Exception {
         RolloutSimulation fleet = started(6, 10);
         Plan plan = fleet.submit("b3", "late", 1);
         for (int i = 0; i < 900 && fleet.changed().size() < 4; i++) {
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void memberCutOffForLongRollsBackAloneAndHaltsNobody() throws Exception {
+    void longPartitionedMemberRollsBackWithoutHaltingThePlan() throws Exception {
         RolloutSimulation fleet = started(7, 10);
         Plan plan = fleet.submit("b3", "away", 1);
         for (int i = 0; i < 300 && fleet.changed().isEmpty(); i++) {
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void ofTwoPlansTheLowerProceedsAndTheOtherIsHaltedAndLogged() throws Exception {
+    void lowerOfTwoPlansProceedsAndTheOtherIsHalted() throws Exception {
         RolloutSimulation fleet = started(8, 8);
         Plan higher = fleet.submit("b1", "two", 2);
         Plan lower = fleet.submit("b6", "one", 1);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void invariantsHoldInRandomHistories() throws Exception {
+    void invariantsHoldUnderRandomFaults() throws Exception {
         Set<String> outcomes = new TreeSet<>();
         int withOpenStage = 0;
         for (int seed = 1; seed <= 24; seed++) {
@@ -161,7 +161,7 @@
             withOpenStage += opensStage ? 1 : 0;
         }
         assertEquals(Set.of("old", "new"), outcomes);
-        assertTrue(withOpenStage > 12, "most get as far as a first stage: " + withOpenStage);
+        assertTrue(withOpenStage > 12, "too few runs that open a stage: " + withOpenStage);
     }
 
     private static RolloutSimulation randomHistory(long seed) throws InvalidPlanException {
--- a/src/test/java/loadbalancer/rollout/stage/RolloutSimulation.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutSimulation.java
@@ -13,9 +13,9 @@
 import loadbalancer.rollout.plan.PlanFile;
 
 /**
- * A fleet with its machines, second by second in virtual time. After each second it checks from
- * outside that no more balancers have changed than the open stage allows, and that no more change
- * at one time than may be unavailable.
+ * Simulates a fleet with its machines in steps of one second of virtual time. After each step it
+ * checks that no more balancers have changed than the open stage allows, and that no more balancers
+ * change at the same time than may be unavailable.
  */
 final class RolloutSimulation {
     static final String DIGEST = "ab".repeat(32);
@@ -79,7 +79,7 @@
         return second * SECOND_MICROS;
     }
 
-    /** Cuts off the first so many members from the others. */
+    /** Separates the given number of members from the others, by name order. */
     void partition(int members) {
         partitionedAtSecond = second;
         int index = 0;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Ends partitions and losses; all machines run. */
+    /** Ends partitions and message loss, and resumes or restarts all machines. */
     void heal() {
         network.partitions.clear();
         network.lossRatio = 0;
@@ -132,7 +132,7 @@
                                 Math.floor(
                                         plan.stageFractions().get(stage - 1) * machines.size()
                                                 + 1e-9);
-        assertTrue(changed <= allowed, changed + " on the new program, of " + allowed + at());
+        assertTrue(changed <= allowed, changed + " run the new program, allowed " + allowed + at());
         long changing =
                 machines.values().stream()
                         .filter(
@@ -142,14 +142,14 @@
                         .count();
         assertTrue(
                 changing <= machines.size() - minServing(plan),
-                "too many change at one time" + at());
+                "too many concurrent changes" + at());
     }
 
     double minServing(Plan plan) {
         return Math.ceil(plan.minServingFraction() * machines.size());
     }
 
-    /** Members that ever stated that so many stages have passed. */
+    /** Returns how many members have ever stated that the given number of stages passed. */
     long passed(Plan plan, int stages) {
         return machines.values().stream()
                 .filter(machine -> machine.passedStages.getOrDefault(plan.key(), 0) >= stages)
@@ -173,12 +173,12 @@
                                         && machine.changingToKey.isEmpty());
     }
 
-    /** Machines that run the change of a plan. */
+    /** Returns the machines that run the change of a plan. */
     List<SimulatedMachine> changed() {
         return machines.values().stream().filter(machine -> !machine.runningKey.isEmpty()).toList();
     }
 
-    /** Whether one plan is complete at all, or none is in progress and none runs any. */
+    /** Returns whether a plan is complete on all machines, or no plan is in progress or running. */
     boolean isSettled() {
         String running = machines.get("b4").runningKey;
         return machines.values().stream()
--- a/src/test/java/loadbalancer/rollout/stage/RolloutStatementTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutStatementTest.java
@@ -15,7 +15,7 @@
 
 class RolloutStatementTest {
     @Test
-    void anyBytesAreDecodedOrIgnoredButNeverThrow() {
+    void decodesOrIgnoresCorruptedBytes() {
         Random random = new Random(10);
         RolloutStatement statement =
                 new RolloutStatement(
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void bytesAreThoseOfTheFormerVersion() {
-        byte[] former =
+    void encodingMatchesEarlierVersion() {
+        byte[] earlier =
                 HexFormat.of()
                         .parseHex(
                                 "bf6670617373656403657068617365026773657276696e67f56466697473026361736b07"
@@ -47,7 +47,7 @@
                         DigestCheck.DIFFERS,
                         7,
                         new TreeMap<>(Map.of("b1", 9L, "b2", -5L)));
-        assertArrayEquals(former, statement.encode());
-        assertEquals(Optional.of(statement), RolloutStatement.decode(former));
+        assertArrayEquals(earlier, statement.encode());
+        assertEquals(Optional.of(statement), RolloutStatement.decode(earlier));
     }
 }
--- a/src/test/java/loadbalancer/rollout/stage/RolloutVotesTest.java
+++ b/src/test/java/loadbalancer/rollout/stage/RolloutVotesTest.java
@@ -25,9 +25,9 @@
         return new RolloutVotes(network.nodes.get("a"), "k").refresh(0).openStage(STAGES);
     }
 
-    /** Half of the fleet is no majority, however often one of them states the same. */
+    /** Repeated statements of one member must not turn half of the fleet into a majority. */
     @Test
-    void eachMemberThatMayVoteCountsOnce() {
+    void countsEachEligibleVoterOnce() {
         byte[] passed =
                 new RolloutStatement(1, Phase.BASELINE, true, DigestCheck.MATCHES, 0, Map.of())
                         .encode();
--- a/src/test/java/loadbalancer/rollout/stage/SimulatedMachine.java
+++ b/src/test/java/loadbalancer/rollout/stage/SimulatedMachine.java
@@ -18,7 +18,7 @@
 import loadbalancer.rollout.stage.RolloutStatement.DigestCheck;
 import loadbalancer.rollout.stage.RolloutStatement.Phase;
 
-/** One balancer of a {@link RolloutSimulation}, its supervisor, and what its disk holds. */
+/** A machine of a {@link RolloutSimulation} with its balancer, supervisor and files. */
 final class SimulatedMachine {
     private final RolloutSimulation fleet;
     final String name;
@@ -51,7 +51,7 @@
         return fleet.network.nodes.get(name);
     }
 
-    /** SIGSTOP or SIGCONT. */
+    /** Emulates SIGSTOP or SIGCONT. */
     void setStopped(boolean stops) {
         isStopped = stops;
         node().isUp = !stops;
@@ -127,11 +127,11 @@
     private void startChange(Plan plan) {
         assertFalse(
                 HaltFlags.isRaised(node(), plan.key()),
-                name + " starts though halted" + fleet.at());
+                name + " starts a halted plan" + fleet.at());
         assertEquals(
                 RolloutSimulation.DIGEST,
                 digest,
-                name + " starts with another digest" + fleet.at());
+                name + " starts although the digest differs" + fleet.at());
         RolloutOrder order = RolloutOrder.of(plan);
         int stage = 1;
         while (order.targetCount(stage) <= order.position(name)) {
@@ -139,16 +139,16 @@
         }
         assertTrue(
                 fleet.passed(plan, stage) >= fleet.majority(),
-                "stage " + stage + " without a majority" + fleet.at());
+                "stage " + stage + " opened without a majority" + fleet.at());
         long connected =
                 fleet.machines.keySet().stream()
                         .filter(other -> fleet.network.areConnected(other, name))
                         .count();
         assertTrue(
                 connected >= fleet.majority() || fleet.second - fleet.partitionedAtSecond <= 5,
-                "starts on the smaller side" + fleet.at());
+                "starts in the minority partition" + fleet.at());
         long serving = fleet.machines.values().stream().filter(this::isOtherServing).count();
-        assertTrue(serving >= fleet.minServing(plan), "too few serve" + fleet.at());
+        assertTrue(serving >= fleet.minServing(plan), "too few balancers serve" + fleet.at());
         changingToKey = plan.key();
         changeEndsAtSecond = fleet.second + 1 + fleet.random.nextInt(8);
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    /** States that all stages have passed, and grants all requests. */
+    /** Publishes forged statements that all stages have passed and all requests are granted. */
     private void publishForgedStatements() {
         for (Plan plan : fleet.plans.values()) {
             Map<String, Long> grants = new TreeMap<>();
--- a/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
+++ b/src/test/java/loadbalancer/rollout/stage/SimulatedNetwork.java
@@ -18,8 +18,8 @@
 import loadbalancer.fleet.replication.SharedState;
 
 /**
- * A network of members that replicate items by gossip. It delays, loses, reorders and partitions,
- * by random numbers passed in. Times are microseconds of a virtual clock.
+ * Simulates a network of members that replicate items by gossip. It delays, loses and reorders
+ * messages at random and supports partitions. Times are microseconds of a virtual clock.
  */
 final class SimulatedNetwork {
     private static final long DEAD_MICROS = 6_000_000;
@@ -34,7 +34,7 @@
             Map<String, Long> heartbeats,
             List<StoredItem> items) {}
 
-    /** An item with its keys in each store. */
+    /** An item with the keys under which nodes store it. */
     private record StoredItem(String key, String topicKey, Item item) {
         static StoredItem of(Item item) {
             String topicKey =
@@ -48,7 +48,7 @@
     final Map<String, Node> nodes = new TreeMap<>();
     final Set<String> contestedNames = new TreeSet<>();
 
-    /** The partition that each member is in; 0 for those that are not named. */
+    /** Partition of each member; members without an entry are in partition 0. */
     final Map<String, Integer> partitions = new HashMap<>();
 
     double lossRatio;
@@ -68,7 +68,7 @@
         return partitions.getOrDefault(one, 0).equals(partitions.getOrDefault(other, 0));
     }
 
-    /** Each member gossips once; what has arrived by now is delivered. */
+    /** Lets each member gossip once and delivers the messages that have arrived. */
     void step(long nowMicros) {
         List<String> names = List.copyOf(nodes.keySet());
         for (Node node : nodes.values()) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** What one member holds. */
+    /** The replicated state of one member. */
     final class Node implements SharedState {
         final String name;
         boolean isUp = true;
@@ -121,7 +121,7 @@
             this.name = name;
         }
 
-        /** A new process of this name; it finds what was stored, or not. */
+        /** Starts a new process of this member, which optionally loses the stored items. */
         void restart(boolean losesItems) {
             incarnation++;
             version = 0;
@@ -156,7 +156,7 @@
             }
         }
 
-        /** Flags stay, and counters are published once here. */
+        /** Compares documents only: flags are permanent and counters are published once. */
         private static boolean isNewer(Item held, Item received) {
             if (!(held instanceof Document old) || !(received instanceof Document other)) {
                 return false;
