--- a/src/main/java/loadbalancer/schedule/agreement/EffectiveRevision.java
+++ b/src/main/java/loadbalancer/schedule/agreement/EffectiveRevision.java
@@ -17,7 +17,7 @@
         NONE,
         /** A majority of the roster voted for the revision. */
         AGREED,
-        /** The revision is agreed, but its text is not received yet or not readable. */
+        /** The revision is agreed, but its text is missing or not valid for this version. */
         TEXT_MISSING,
         /** The revision was revoked. */
         REVOKED,
--- a/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
+++ b/src/main/java/loadbalancer/schedule/agreement/RevisionVotes.java
@@ -58,7 +58,7 @@
             decodedByMember.put(member, decoded);
         }
         if (decoded.statement.isEmpty() && loggedUnreadable.add(member)) {
-            log.accept("cannot decode the calendar statement of member " + member);
+            log.accept("calendar statement of member " + member + " cannot be decoded");
         }
         return decoded.statement;
     }
--- a/src/main/java/loadbalancer/schedule/weighting/HeadroomMonitor.java
+++ b/src/main/java/loadbalancer/schedule/weighting/HeadroomMonitor.java
@@ -9,7 +9,7 @@
  * microseconds of the monotonic clock.
  */
 public final class HeadroomMonitor {
-    /** Weight of the latest value in the moving average; its 20 report periods are 5 s. */
+    /** Weight of the latest report period in the moving average, which covers 20 periods or 5 s. */
     private static final double SMOOTHING_FACTOR = 0.05;
 
     /** A reduction ends after this time at full effect, as utilisation fluctuates at the limit. */
--- a/src/main/java/loadbalancer/schedule/window/RecurrenceRuleTimes.java
+++ b/src/main/java/loadbalancer/schedule/window/RecurrenceRuleTimes.java
@@ -64,7 +64,7 @@
         return times;
     }
 
-    /** Rejects rules for which the library fails, which finds no occurrence in 1,000 steps. */
+    /** Rejects rules for which the library finds no occurrence in 1,000 steps and fails. */
     private void requireOccurrences() throws InvalidRecurrenceException {
         try {
             if (rule.getCount() != null) {
--- a/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
+++ b/src/test/java/loadbalancer/schedule/WeightScheduleTest.java
@@ -223,7 +223,7 @@
         assertEquals(Set.of(0.5), fleet.factors());
         byzantine.publish(0, "calendar/holds", new byte[] {(byte) 0x9f, 0x7f, 1, 2});
         fleet.runFor(10 * SECOND);
-        assertEquals(11, count(fleet, "cannot decode the calendar statement of member m10"));
+        assertEquals(11, count(fleet, "calendar statement of member m10 cannot be decoded"));
     }
 
     @Test
