--- a/src/main/java/loadbalancer/cli/CommandGroup.java
+++ b/src/main/java/loadbalancer/cli/CommandGroup.java
@@ -28,7 +28,7 @@
         return spec.commandLine().getErr();
     }
 
-    /** Returns an exception for an invalid command line, which leads to printed usage help. */
+    /** Returns an exception for an invalid command line; throwing it prints the usage help. */
     ParameterException usageError(String message) {
         return new ParameterException(spec.commandLine(), message);
     }
--- a/src/main/java/loadbalancer/control/publish/PublisherLimits.java
+++ b/src/main/java/loadbalancer/control/publish/PublisherLimits.java
@@ -21,7 +21,10 @@
         int partBytes,
         long heartbeatMillis,
         int retainedDeletions) {
-    /** The defaults, sized for a third of 860 subscribers of all services, see docs/CAPACITY.md. */
+    /**
+     * The defaults, sized for a third of 860 subscribers that each receive all services; see
+     * docs/CAPACITY.md.
+     */
     public static final PublisherLimits DEFAULT =
             new PublisherLimits(1_000, 50, 64 << 20, 4 << 20, 16 << 10, 2_000, 100_000);
 
--- a/src/main/java/loadbalancer/fleet/membership/SwimSettings.java
+++ b/src/main/java/loadbalancer/fleet/membership/SwimSettings.java
@@ -13,14 +13,15 @@
  * @param probeTimeoutMicros time without an ack until indirect probes start; should be at most half
  *     of the interval, so that indirect probes have as much time
  * @param indirectProbes number of members that are requested to probe indirectly
- * @param suspicionMultiplier shortest suspicion timeout, in probe intervals per power of ten of
- *     members
+ * @param suspicionMultiplier shortest suspicion timeout in a fleet of up to 10 members, in probe
+ *     intervals; in a larger one it is multiplied by the decimal logarithm of the number of members
  * @param suspicionMaxTimeoutMultiplier ratio of the longest to the shortest suspicion timeout
  * @param gossipIntervalMicros interval between rounds of gossip while updates are queued
  * @param gossipFanout number of members to which a round of gossip is sent
  * @param forgetAfterMicros time after which a member that is dead or has left is forgotten
  * @param maxMembers maximum size of the member table, including this member; 2 or more
- * @param conflictQuietMicros time without alternation after which a name conflict ends
+ * @param conflictQuietMicros time after which a name conflict ends if the name has not alternated
+ *     between machines
  */
 public record SwimSettings(
         String name,
--- a/src/main/java/loadbalancer/fleet/membership/UpdateProcessor.java
+++ b/src/main/java/loadbalancer/fleet/membership/UpdateProcessor.java
@@ -6,8 +6,8 @@
  * Applies statements about members to the table. The later of two statements takes precedence
  * ({@link MemberPrecedence}), with one exception: a statement that a member is dead or has left is
  * accepted immediately only from the member itself, or after the member was suspected for long
- * enough to refute it. Otherwise the member is suspected first. For the thread of {@link Swim};
- * times are microseconds of its monotonic clock.
+ * enough to refute the suspicion. Otherwise the member is suspected first. Used on the thread of
+ * {@link Swim}; times are microseconds of its monotonic clock.
  */
 final class UpdateProcessor {
     private final SwimSettings settings;
--- a/src/main/java/loadbalancer/fleet/replication/BucketSync.java
+++ b/src/main/java/loadbalancer/fleet/replication/BucketSync.java
@@ -5,7 +5,7 @@
 
 /**
  * Anti-entropy by bucket hashes: finds the items that differ from a peer's and packs them into
- * datagrams. For the thread of {@link ReplicatedStore}; independent of time.
+ * datagrams. Used on the thread of {@link ReplicatedStore}; independent of time.
  */
 final class BucketSync {
     /** Topic of bucket hashes, part of the wire format. */
--- a/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
+++ b/src/main/java/loadbalancer/fleet/replication/RevisionQuorum.java
@@ -43,7 +43,10 @@
         this.settleMicros = settleMicros;
     }
 
-    /** Votes for a digest instead of any other; returns false if this member may not vote yet. */
+    /**
+     * Votes for a digest, which withdraws an earlier vote for another; returns false if this member
+     * may not vote yet.
+     */
     public boolean vote(long nowMicros, byte[] digest) {
         if (shared.canVote()) {
             shared.publishDurably(nowMicros, topic, digest);
--- a/src/main/java/loadbalancer/fleet/replication/RobustEstimators.java
+++ b/src/main/java/loadbalancer/fleet/replication/RobustEstimators.java
@@ -32,7 +32,7 @@
     /**
      * Returns the mean without a fraction of the values at each end, at least one value per end if
      * there are three or more; NaN if there are no values. Malicious values can't move it beyond
-     * the range of the others if they are not more than those cut off at one end.
+     * the range of the others if there are no more of them than are cut off at one end.
      *
      * @param fraction fraction to cut off at each end, from 0 to below 0.5
      * @throws IllegalArgumentException if the fraction is negative, 0.5 or more, or NaN
@@ -59,7 +59,7 @@
      * @param value the estimate from the samples alone
      * @param samples number of samples
      * @param prior the estimate without samples
-     * @param priorWeight weight of the prior in samples, above 0
+     * @param priorWeight weight of the prior as a number of samples, above 0
      */
     public static double shrink(double value, int samples, double prior, double priorWeight) {
         return samples == 0 || !Double.isFinite(value)
--- a/src/main/java/loadbalancer/http1/control/SubscriptionEvents.java
+++ b/src/main/java/loadbalancer/http1/control/SubscriptionEvents.java
@@ -9,7 +9,7 @@
     void heartbeat();
 
     /**
-     * Handles the end of a subscription, or the failure to open it; none of its events follows.
+     * Handles the end of a subscription, or the failure to open it; no event of it follows.
      *
      * @param retryAfterMillis the delay that the server asked for; 0 if it gave none
      * @param reason one line for the log
--- a/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/http1/downstream/ClientConnection.java
@@ -23,8 +23,9 @@
     private static final System.Logger LOG = System.getLogger(ClientConnection.class.getName());
 
     /**
-     * A client counts as disconnected 0.1 s after it has closed its connection. A connection that
-     * was last read more than a fifth of that ago is read before any work is done for its client.
+     * A client counts as disconnected 0.1 s after it has closed its connection. A connection whose
+     * last read is at least a fifth of that time ago is read before any work is done for its
+     * client.
      */
     private static final long MAX_READ_AGE_MILLIS = 20;
 
@@ -93,12 +94,12 @@
         return inbound.receiveIdleMillis();
     }
 
-    /** Whether no byte has been received on this connection. */
+    /** Returns whether no byte has been received on this connection. */
     boolean isNew() {
         return !inbound.hasReceivedBytes();
     }
 
-    /** Whether the next bytes belong to a request head. */
+    /** Returns whether the next bytes belong to a request head. */
     boolean isAwaitingHead() {
         return !reader.isMidRequest();
     }
@@ -126,7 +127,8 @@
     }
 
     /**
-     * Whether the client is still connected; reads the socket first if the last read is too old.
+     * Returns whether the client is still connected; reads the socket first if the last read is too
+     * old.
      */
     boolean isClientConnected() {
         if (inbound.millisSinceRead() >= MAX_READ_AGE_MILLIS) {
@@ -165,12 +167,12 @@
         }
     }
 
-    /** Whether the connection carries no request and no part of one. */
+    /** Returns whether the connection carries no request and no part of one. */
     private boolean hasNoRequest() {
         return isNew() || activity == ConnectionActivity.IDLE;
     }
 
-    /** Whether a request has been received in part and none is in service. */
+    /** Returns whether a request has been received in part and none is in service. */
     boolean hasPartialRequest() {
         return !isNew()
                 && !sequencer.isServing()
@@ -245,7 +247,7 @@
         sequencer.readCompleted();
     }
 
-    /** Whether the connection accepts further requests. */
+    /** Returns whether the connection accepts further requests. */
     boolean isOpen() {
         return state == ConnectionState.OPEN;
     }
--- a/src/main/java/loadbalancer/http1/downstream/ConnectionRegistry.java
+++ b/src/main/java/loadbalancer/http1/downstream/ConnectionRegistry.java
@@ -62,7 +62,10 @@
         return byActivity.get(activity).iterator().next();
     }
 
-    /** Whether any connection has been in an activity for longer than a time in milliseconds. */
+    /**
+     * Returns whether any connection has been in an activity for longer than a time in
+     * milliseconds.
+     */
     boolean anyLongerThan(ConnectionActivity activity, long millis) {
         Set<ClientConnection> connections = byActivity.get(activity);
         return !connections.isEmpty() && connections.iterator().next().millisInActivity() > millis;
--- a/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/http1/downstream/RequestValidator.java
@@ -39,7 +39,7 @@
 
     private static final int MAX_TOKEN_CHARS = 64;
 
-    /** Exceeds the number of digits of any protocol value and keeps it within a long. */
+    /** Exceeds the number of digits of any protocol value; 9 digits always fit in a long. */
     private static final int MAX_DIGITS = 9;
 
     private final LoadedSettings loadedSettings;
@@ -148,9 +148,9 @@
      */
     static String target(HttpRequest message) {
         String uri = message.uri();
-        int host = uri.startsWith("http://") ? "http://".length() : -1;
-        int path = host < 0 ? 0 : uri.indexOf('/', host);
-        return path < 0 ? "/" : uri.substring(path);
+        int hostStart = uri.startsWith("http://") ? "http://".length() : -1;
+        int pathStart = hostStart < 0 ? 0 : uri.indexOf('/', hostStart);
+        return pathStart < 0 ? "/" : uri.substring(pathStart);
     }
 
     private static String token(HttpHeaders headers, AsciiString name)
--- a/src/main/java/loadbalancer/node/ListFramer.java
+++ b/src/main/java/loadbalancer/node/ListFramer.java
@@ -14,7 +14,7 @@
 final class ListFramer implements ByteProcessor {
     /** Receives the content of the body, in order. */
     interface Listener {
-        /** Reports an empty line, outside of a list or truncating one. */
+        /** Reports an empty line, which is outside of a list or truncates one. */
         void onHeartbeat();
 
         /** Delivers a complete JSON object, not parsed yet. */
@@ -30,7 +30,7 @@
     /** A key that every list has. */
     private static final byte[] LIST_KEY = "\"servers\"".getBytes(StandardCharsets.US_ASCII);
 
-    /** Counts the open braces and quotes since the byte where an object began. */
+    /** Tracks the open braces, brackets and quotes since the byte where an object began. */
     private static final class Nesting {
         private final int start;
         private int depth;
--- a/src/main/java/loadbalancer/node/control/ControlBinding.java
+++ b/src/main/java/loadbalancer/node/control/ControlBinding.java
@@ -106,7 +106,7 @@
                 transport, subscription, storage, processMetrics, client, client::listen);
     }
 
-    /** Returns null if no state is to be stored. */
+    /** Returns the files that store the state; null if no state is to be stored. */
     private AppliedStateFiles stateFiles(StateStorage storage) {
         if (storage.disk() == null) {
             return null;
--- a/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
+++ b/src/main/java/loadbalancer/node/control/ServiceConfiguration.java
@@ -119,7 +119,10 @@
         checkedConfiguration(Revision.NONE, next);
     }
 
-    /** Rejects an update that deletes the service or all of its classes; both may only change. */
+    /**
+     * Rejects an update that deletes the service or all of its classes; both may be changed but not
+     * deleted.
+     */
     private void requireNotDeleted(ServiceResources next) throws InvalidChangeException {
         ResourceId place = ResourceId.ofService(service);
         if (resources.service() != null && next.service() == null) {
--- a/src/main/java/loadbalancer/node/supervisor/ProcessRunner.java
+++ b/src/main/java/loadbalancer/node/supervisor/ProcessRunner.java
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Starts a process. One that can't be started is reported as exited immediately. */
+    /** Starts a process. One that can't be started is immediately reported as exited. */
     void start(ProcessSupervisor supervisor, long nowMicros, int number, Variant variant)
             throws IOException {
         SupervisedProcessRecord record =
--- a/src/main/java/loadbalancer/policy/DerivedSettings.java
+++ b/src/main/java/loadbalancer/policy/DerivedSettings.java
@@ -20,7 +20,7 @@
  */
 final class DerivedSettings {
     /**
-     * Number of balancers from which on a tier is not small. In a smaller tier this balancer's
+     * Number of balancers at which a tier is no longer small. In a smaller tier this balancer's
      * queue is nearly the whole queue.
      */
     static final double SMALL_TIER_BALANCERS = 4;
--- a/src/main/java/loadbalancer/policy/EndpointCapacity.java
+++ b/src/main/java/loadbalancer/policy/EndpointCapacity.java
@@ -30,8 +30,8 @@
     private static final double QUEUE_TIME_RATIO_BY_PROBES = 0.6;
 
     /**
-     * Queue length below which an endpoint counts as idle: it is encoded as less than one request
-     * in messages.
+     * Queue length below which an endpoint counts as idle; such a length is encoded in messages as
+     * less than one request.
      */
     private static final double MAX_IDLE_QUEUE_LENGTH = 1 - 1 / InFlightMessage.PARTS_PER_REQUEST;
 
--- a/src/main/java/loadbalancer/policy/FinalResponses.java
+++ b/src/main/java/loadbalancer/policy/FinalResponses.java
@@ -58,7 +58,7 @@
 
     /**
      * Returns the time in which the pending requests would be served at the current arrival rate; 0
-     * means no advice.
+     * if no Retry-After time is given.
      */
     private long retryAfterMicros(OpenRequest request) {
         if (!request.limits().isRetryAfterAllowed()
--- a/src/main/java/loadbalancer/proxy/EventLoopLag.java
+++ b/src/main/java/loadbalancer/proxy/EventLoopLag.java
@@ -4,8 +4,8 @@
 
 /**
  * Estimates how late the event loop runs from the lateness of its timers. Data that is read now may
- * have waited unread for as long, and a timer that is due later may run as late. Used on the event
- * loop only.
+ * have waited unread for that time, and a timer that is due later may run that late. Used on the
+ * event loop only.
  */
 final class EventLoopLag {
     /**
@@ -18,8 +18,8 @@
     private final LongSupplier nanoTime;
 
     /**
-     * Due time of the earliest pending timer. Unknown, and set to the maximum, from the run of that
-     * timer until another is scheduled.
+     * Due time of the earliest pending timer. It is unknown, and set to the maximum, from the run
+     * of that timer until another is scheduled.
      */
     private long earliestDueNanos = Long.MAX_VALUE;
 
--- a/src/main/java/loadbalancer/proxy/HeaderField.java
+++ b/src/main/java/loadbalancer/proxy/HeaderField.java
@@ -3,7 +3,7 @@
 /**
  * A field of a message head.
  *
- * @param name in the spelling in which it is forwarded; compared without regard to case
+ * @param name the name in the spelling in which it is forwarded; compared without regard to case
  * @param value the value as received
  */
 public record HeaderField(CharSequence name, String value) {}
--- a/src/main/java/loadbalancer/proxy/PolicyTimers.java
+++ b/src/main/java/loadbalancer/proxy/PolicyTimers.java
@@ -26,6 +26,6 @@
 
     private void expired(String token, long dueNanos) {
         lag.timerExpired(dueNanos);
-        policy.post((policy, now) -> policy.timerExpired(now, token));
+        policy.post((balancer, now) -> balancer.timerExpired(now, token));
     }
 }
--- a/src/main/java/loadbalancer/proxy/SendAudit.java
+++ b/src/main/java/loadbalancer/proxy/SendAudit.java
@@ -25,7 +25,10 @@
     /** Maximum pause of the process between reading the clock and writing. */
     private static final long MAX_HOLD_UP_MICROS = 150_000;
 
-    /** Time in sockets that the protocol allows for; added to every limit. */
+    /**
+     * Time in sockets that the protocol allows for; added to the drain grace and the idempotency
+     * window.
+     */
     private static final long SOCKET_SLACK_MICROS = 50_000;
 
     private final Violations violations;
@@ -77,9 +80,9 @@
         endpoints
                 .values()
                 .removeIf(
-                        u ->
-                                u.notReadySinceMicros != EndpointAudit.NEVER
-                                        && nowMicros - u.notReadySinceMicros
+                        endpoint ->
+                                endpoint.notReadySinceMicros != EndpointAudit.NEVER
+                                        && nowMicros - endpoint.notReadySinceMicros
                                                 > TimeUnit.MINUTES.toMicros(1));
     }
 
@@ -233,9 +236,9 @@
                     "attempt to " + endpointId + ", which is in no endpoint list");
             return;
         }
-        long grace = rules.drainGraceMicros() + SOCKET_SLACK_MICROS - MAX_HOLD_UP_MICROS;
+        long graceMicros = rules.drainGraceMicros() + SOCKET_SLACK_MICROS - MAX_HOLD_UP_MICROS;
         if (endpoint.notReadySinceMicros != EndpointAudit.NEVER
-                && nowMicros - endpoint.notReadySinceMicros > grace) {
+                && nowMicros - endpoint.notReadySinceMicros > graceMicros) {
             report(
                     Violation.DRAINING_UPSTREAM,
                     request,
@@ -251,7 +254,7 @@
     /**
      * Checks the slow-start quota, which holds for this process and each window of the settings.
      * The quota is the allowed multiple of the attempts to a warmed-up endpoint, scaled by the
-     * warm-up factor. Attempts may exceed it by 3 standard deviations and 3, for random variation.
+     * warm-up factor. Attempts may exceed it by 3 standard deviations plus 3, for random variation.
      */
     private void checkSlowStart(
             RequestAudit request, String endpointId, EndpointAudit endpoint, long nowMicros) {
--- a/src/main/java/loadbalancer/rollout/analysis/MetricComparison.java
+++ b/src/main/java/loadbalancer/rollout/analysis/MetricComparison.java
@@ -11,7 +11,7 @@
  * <p>Values are on the metric's scale ({@link Metric#toMetricScale}). Not thread-safe.
  */
 final class MetricComparison {
-    /** Maximum weight of a single observation, in margins. */
+    /** Limit, in margins, to which the deviation of a single observation is clamped. */
     private static final double MAX_MARGINS = 5;
 
     /** A change of the baseline balancers by more margins than this indicates an incident. */
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Returns the change of a zone's baseline balancers above which the zone has an incident and is
-     * not evidence about the program.
+     * Returns the change of a zone's baseline balancers above which the zone counts as having an
+     * incident, and its data is not evidence about the program.
      */
     double incidentThreshold() {
         return INCIDENT_MARGINS * margin;
--- a/src/main/java/loadbalancer/schedule/window/WeightFactors.java
+++ b/src/main/java/loadbalancer/schedule/window/WeightFactors.java
@@ -32,15 +32,15 @@
      * jumps.
      */
     public double factorFor(UpstreamAttributes upstream, String requestClass, String tenant) {
-        double log = 0;
+        double logFactor = 0;
         for (ActiveWindow active : activeWindows) {
             if (active.window.applies(upstream, requestClass, tenant)) {
-                log =
-                        (1 - active.rampFraction) * log
+                logFactor =
+                        (1 - active.rampFraction) * logFactor
                                 + active.rampFraction * Math.log(active.window.factor());
             }
         }
-        return Math.exp(log);
+        return Math.exp(logFactor);
     }
 
     /** Returns a copy with another end of validity. */
--- a/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
+++ b/src/test/java/loadbalancer/control/model/ResourceStateFormatTest.java
@@ -75,7 +75,7 @@
         }
     }
 
-    /** A flipped bit may be harmless, such as in the case of a hexadecimal digit. */
+    /** A flipped bit may be harmless, such as one that changes a hex digit to upper case. */
     @Test
     void neverReadsDifferentStateAfterAnyBitFlip() {
         byte[] complete = ResourceStateFormat.write(twoServices());
--- a/src/test/java/loadbalancer/faults/fleet/SwimAssertions.java
+++ b/src/test/java/loadbalancer/faults/fleet/SwimAssertions.java
@@ -10,7 +10,7 @@
 final class SwimAssertions {
     private SwimAssertions() {}
 
-    /** Runs the simulation until a condition holds; fails if that takes longer than given. */
+    /** Runs the simulation until a condition holds; fails after the given seconds. */
     static void assertWithin(
             SwimSimulation simulation, double seconds, Predicate<SwimSimulation> condition) {
         assertNotEquals(-1, simulation.runUntil(seconds, condition));
--- a/src/test/java/loadbalancer/policy/ArbitrarySettings.java
+++ b/src/test/java/loadbalancer/policy/ArbitrarySettings.java
@@ -232,7 +232,7 @@
         return Arbitraries.oneOf(usual, usual, unusual);
     }
 
-    /** Returns whether the slow-start budget allows for at least a single request. */
+    /** Returns whether the slow-start quota allows at least a single request. */
     static boolean hasSlowStartBudget(LoadBalancerSettings settings) {
         RuleLimits rules = settings.ruleLimits();
         return rules.initialCapacityRatio() > 0
--- a/src/test/java/loadbalancer/schedule/clock/FleetClockTest.java
+++ b/src/test/java/loadbalancer/schedule/clock/FleetClockTest.java
@@ -120,9 +120,8 @@
             clock.onSample(now, "m" + i, 5 * SECOND, 200);
         }
         assertEquals(UTC + 5 * SECOND + now, clock.timeAt(now));
-        long later =
-                3_000 * SECOND; // all samples have expired, and the member's own clock has been
-        // corrected
+        // All samples have expired, and the member's own clock has been corrected.
+        long later = 3_000 * SECOND;
         clock.tick(later, UTC + 5 * SECOND + later);
         assertEquals(UTC + 5 * SECOND + later, clock.timeAt(later), SECOND / 100);
     }
@@ -144,10 +143,8 @@
             SplittableRandom random = new SplittableRandom(seed);
             FleetClock clock = new FleetClock(3, lines::add);
             clock.tick(0, UTC);
-            clock.tick(
-                    FleetClock.GRACE_MICROS,
-                    UTC + FleetClock.GRACE_MICROS); // the grace period ends, so that later
-            // corrections are slewed
+            // The grace period ends, so that later corrections are slewed.
+            clock.tick(FleetClock.GRACE_MICROS, UTC + FleetClock.GRACE_MICROS);
             long now = FleetClock.GRACE_MICROS;
             long scale = new long[] {1_000, 400_000, 20 * SECOND}[random.nextInt(3)];
             long last = clock.timeAt(now);
--- a/src/test/java/loadbalancer/transport/MillisecondIoHandlerTest.java
+++ b/src/test/java/loadbalancer/transport/MillisecondIoHandlerTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Delays must be rounded up to whole milliseconds: a selector takes less than one as no wait, and
- * its loop spins.
+ * Delays must be rounded up to whole milliseconds: a selector treats a delay of less than one
+ * millisecond as no wait, and its loop spins.
  */
 class MillisecondIoHandlerTest {
     @Test
