--- a/src/main/java/loadbalancer/control/store/LogWriter.java
+++ b/src/main/java/loadbalancer/control/store/LogWriter.java
@@ -8,8 +8,8 @@
 
 /**
  * Appends records to the log and compacts it into snapshots. After the first I/O error nothing more
- * is written, because what the failed call left on disk is unknown until the log is read again.
- * One thread writes; {@link #isAvailable} and {@link #stop} may be called from any thread.
+ * is written, because what the failed call left on disk is unknown until the log is read again. One
+ * thread writes; {@link #isAvailable} and {@link #stop} may be called from any thread.
  */
 final class LogWriter implements Closeable {
     private final LogDirectory directory;
